--- a/include/marjoramloom/gateway/admission_policy.h
+++ b/include/marjoramloom/gateway/admission_policy.h
@@ -4,18 +4,19 @@
 
 namespace marjoramloom {
 
-/// Decides which prompts are refused when engines cannot serve all in time.
+/// Decides which prompts are refused when the engines cannot serve all of them in time.
 ///
-/// The load it answers: some accounts suddenly ask for many times their usual share, and together all ask for more than
-/// the engines can read. The wait that a request may be sent into shrinks with the part of the fleet's work that its
-/// account got lately. As queues grow, the accounts that got most are refused first, until those that wait have equal
-/// parts; an account that asks for little is refused last. Thread safe: it holds no state.
+/// It protects against accounts that suddenly send many times their usual load, so that all accounts together exceed
+/// the engines' prefill capacity. The queue wait that a request may face shrinks with its account's recent share of the
+/// fleet's work. As queues grow, the accounts with the largest shares are refused first, until the shares are equal; an
+/// account with little load is refused last. Thread safe: stateless.
 class admission_policy
 {
 public:
-    /// Longest wait, before the engine begins, that a request is still sent into. \p reading is the time that its own
-    /// prompt takes; \p fraction is what its account got of all work lately, from 0 to 1.
-    [[nodiscard]] auto longestWait(duration objective, duration reading, double fraction) const -> duration;
+    /// Longest expected queue wait at an engine with which a request is still accepted. \p objective is the latency
+    /// objective of the first event, \p prefillTime the expected prefill time of the request's own prompt, and
+    /// \p accountShare its account's recent share of all work, from 0 to 1.
+    [[nodiscard]] auto maxWait(duration objective, duration prefillTime, double accountShare) const -> duration;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/engine_decision.h
+++ b/include/marjoramloom/gateway/engine_decision.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "marjoramloom/gateway/engine_parts.h"
+#include "marjoramloom/gateway/engine_shards.h"
 #include "marjoramloom/gateway/gateway_state.h"
 #include "marjoramloom/gateway/server_choice.h"
 
@@ -8,27 +8,27 @@
 
 namespace marjoramloom {
 
-/// What a place at an engine is asked for.
+/// A request to place a prompt on one of a service's engines.
 struct placement_query
 {
     std::string service;
-    engine_part part; ///< Engines that may be chosen.
+    engine_shard part; ///< Only its engines may be chosen.
     prompt_outline prompt;
-    std::uint64_t account = 0;
-    duration objective{}; ///< To the first event.
-    tried_servers failed; ///< Where the request was just tried in vain; not chosen again.
-    bool begun = false; ///< A server has had the request before: it goes on wherever it can, and is not refused.
+    std::uint64_t account = 0; ///< From account_usage::accountId().
+    duration objective{}; ///< Latency objective of the first event.
+    tried_servers failed; ///< Engines at which this request has just failed; they are not chosen again.
+    bool alreadySent = false; ///< An engine was already sent the request, so it is not refused for its expected wait.
 };
 
-/// An engine for a prompt, or a refusal.
+/// The engine chosen for a prompt, or a refusal.
 struct engine_decision
 {
-    std::optional<chosen_server> chosen; ///< Empty where the request is refused.
-    bool everyoneFull = false; ///< The refusal is for want of places, not of time.
+    std::optional<chosen_server> chosen; ///< Empty if the request is refused.
+    bool allEnginesFull = false; ///< Refused because no engine has a free slot, not for a late first event.
 };
 
-/// Decides by what this router knows: the engine, and whether the request is worth its wait. Nothing where no engine of
-/// the service can be used.
+/// Chooses the engine from this router's own load data, and decides whether to refuse the request because its expected
+/// wait is too long. Returns nothing, with the reason in \p why, if no engine of the service can be used.
 auto decideEngine(gateway_state &state, const placement_query &query, time_point now, last_reason &why)
     -> std::optional<engine_decision>;
 
--- /dev/null
+++ b/include/marjoramloom/gateway/error_reply.h
@@ -0,0 +1,16 @@
+#pragma once
+
+#include "marjoramloom/gateway/gateway_state.h"
+#include "marjoramloom/gateway/routed_request.h"
+#include "marjoramloom/router/http_exchange.h"
+
+#include <string_view>
+
+namespace marjoramloom {
+
+/// A reply that the router itself generates: \p status with \p reason as text, and with a Retry-After header if the
+/// status means that the request was not executed (429, 503).
+auto makeErrorReply(gateway_state &state, const routed_request &request, unsigned status, std::string_view reason)
+    -> http_reply;
+
+} // namespace marjoramloom
--- a/include/marjoramloom/gateway/fleet_loads.h
+++ b/include/marjoramloom/gateway/fleet_loads.h
@@ -8,71 +8,71 @@
 
 namespace marjoramloom {
 
-/// Load that one router puts on one run of an engine.
-struct engine_share
+/// Load that the requests of one or more routers put on one incarnation of an engine.
+struct engine_load
 {
-    std::uint64_t server = 0; ///< Hash of the run.
-    std::uint32_t running = 0;
-    std::uint32_t unreadTokens = 0;
+    std::uint64_t server = 0; ///< From server_loads::incarnationId().
+    std::uint32_t running = 0; ///< Requests at the engine.
+    std::uint32_t pendingPrefillTokens = 0; ///< Prompt tokens that the engine still has to prefill.
 };
 
-/// Work that one router began for a client account over the accounting window.
-struct account_share
+/// Tokens that one or more routers sent to engines for a client account, over sliding_window_sum::LENGTH.
+struct account_tokens
 {
-    std::uint64_t account = 0; ///< Hash of the name.
+    std::uint64_t account = 0; ///< From account_usage::accountId().
     std::uint32_t startedTokens = 0;
 };
 
-/// State of one router at one time, as it tells it to the others.
+/// Loads of one router at one point in time, as it reports them to the others.
 struct load_snapshot
 {
-    std::uint64_t router = 0; ///< Incarnation.
-    std::uint64_t sequence = 0;
-    std::vector<engine_share> engines;
-    std::vector<account_share> accounts;
+    std::uint64_t router = 0; ///< Its incarnation.
+    std::uint64_t sequence = 0; ///< Increases with each report.
+    std::vector<engine_load> engines;
+    std::vector<account_tokens> accounts;
 };
 
-/// What the other routers say of their loads, added up.
+/// Sums of the loads that the other routers report.
 ///
-/// A router that falls silent counts no longer: its requests end with it, or it is cut off and nothing better is known.
-/// Not thread safe.
+/// A router that falls silent no longer counts: either it stopped and its requests ended with it, or it is cut off and
+/// its load is unknown. Not thread safe.
 class fleet_loads
 {
 public:
-    /// Reports come several times a second; this many are missed before a router counts as silent.
+    /// A router counts as silent after this time, in which several of its reports are missing.
     static constexpr duration SILENCE_LIMIT = std::chrono::milliseconds(700);
 
-    /// Takes over a report; an older one than seen before is dropped. False where it was dropped.
-    auto take(load_snapshot snapshot, time_point now) -> bool;
+    /// Replaces the router's previous report. Returns false, without effect, if \p snapshot is not newer than that.
+    auto update(load_snapshot snapshot, time_point now) -> bool;
 
-    /// The router \p incarnation stops.
-    auto drop(std::uint64_t incarnation) -> void;
+    /// Removes the loads of the router \p incarnation, which stops.
+    auto removeRouter(std::uint64_t incarnation) -> void;
 
-    /// Forgets silent routers. Call before reading sums.
+    /// Removes the loads of silent routers. Call before reading sums.
     auto expire(time_point now) -> void;
 
-    /// Load that the others put on a run of an engine.
-    [[nodiscard]] auto onEngine(std::uint64_t server) const -> engine_share;
+    /// Load that the other routers put on the engine incarnation \p server.
+    [[nodiscard]] auto loadOnEngine(std::uint64_t server) const -> engine_load;
 
-    /// Work that the others began for an account.
-    [[nodiscard]] auto ofAccount(std::uint64_t account) const -> account_share;
+    /// Tokens that the other routers sent to engines for an account.
+    [[nodiscard]] auto tokensOfAccount(std::uint64_t account) const -> account_tokens;
 
-    /// Tokens that the others started for all accounts over the accounting window.
+    /// Tokens that the other routers sent to engines for all accounts, over sliding_window_sum::LENGTH.
     [[nodiscard]] auto startedTokens() const -> std::uint64_t;
 
 private:
-    struct heard_router
+    struct router_report
     {
         load_snapshot snapshot;
-        time_point heardAt;
+        time_point receivedAt;
     };
 
-    auto count(const load_snapshot &snapshot, bool adds) -> void;
+    auto adjustSums(const load_snapshot &snapshot, bool isAdded) -> void;
 
-    std::unordered_map<std::uint64_t, heard_router> m_routers;
-    std::unordered_map<std::uint64_t, engine_share> m_engines; ///< Sums over m_routers.
-    std::unordered_map<std::uint64_t, account_share> m_accounts;
-    std::uint64_t m_started = 0;
+    std::unordered_map<std::uint64_t, router_report> m_routers;
+    std::unordered_map<std::uint64_t, engine_load> m_engines; ///< Sums over m_routers.
+    std::unordered_map<std::uint64_t, account_tokens> m_accounts;
+    std::uint64_t m_startedTokens = 0;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/gateway_settings.h
+++ b/include/marjoramloom/gateway/gateway_settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "marjoramloom/gateway/repeat_budget.h"
+#include "marjoramloom/gateway/gateway_retry_budget.h"
 
 #include <chrono>
 #include <cstdint>
@@ -17,7 +17,7 @@
     std::chrono::milliseconds graceTime{ 8'000 }; ///< From the signal to stop until the process is ended.
     double cores = 1; ///< Share of a processor core that the router may use; large ones dispatch for the others.
     std::uint32_t descriptors = 1'024; ///< File descriptors that the process may use.
-    repeat_budget_settings repeats;
+    gateway_retry_budget_settings repeats;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/gateway_state.h
+++ b/include/marjoramloom/gateway/gateway_state.h
@@ -5,13 +5,13 @@
 #include "marjoramloom/core/latency_histogram.h"
 #include "marjoramloom/gateway/account_usage.h"
 #include "marjoramloom/gateway/admission_policy.h"
+#include "marjoramloom/gateway/event_loop_delay.h"
 #include "marjoramloom/gateway/fleet_loads.h"
+#include "marjoramloom/gateway/gateway_retry_budget.h"
 #include "marjoramloom/gateway/gateway_settings.h"
 #include "marjoramloom/gateway/key_freshness.h"
-#include "marjoramloom/gateway/loop_lag.h"
-#include "marjoramloom/gateway/open_placements.h"
+#include "marjoramloom/gateway/pending_placements.h"
 #include "marjoramloom/gateway/prompt_placement.h"
-#include "marjoramloom/gateway/repeat_budget.h"
 #include "marjoramloom/gateway/route_table.h"
 #include "marjoramloom/gateway/router_roster.h"
 #include "marjoramloom/gateway/server_directory.h"
@@ -45,7 +45,7 @@
     auto noteRead(std::uint64_t server, const prompt_outline &prompt) -> prompt_read;
 
     /// The budget of repeats to the servers of \p service.
-    auto repeatsOf(const std::string &service) -> repeat_budget &;
+    auto repeatsOf(const std::string &service) -> gateway_retry_budget &;
 
     /// Idle connections that this router may keep to one server of \p service: its part of half of what the server
     /// accepts from all routers. The other half is for requests that open new ones.
@@ -58,13 +58,13 @@
     bool hasServers = false; ///< Whether the list of backend servers was read.
     bool stopping = false; ///< Connections close after their answers.
     bool refusing = false; ///< Too late in a stop for further requests.
-    loop_lag lag;
+    event_loop_delay lag;
     key_freshness keys;
     server_directory servers;
     server_loads loads;
     router_roster roster;
     fleet_loads fleet;
-    open_placements placements;
+    pending_placements placements;
     account_usage accounts;
     admission_policy admission;
     std::vector<prompt_read> unreportedReads;
@@ -72,7 +72,7 @@
     prompt_placement placement;
     connection_pool connections;
     boost::random::mt19937_64 random;
-    std::map<std::string, repeat_budget> repeats; ///< By service.
+    std::map<std::string, gateway_retry_budget> repeats; ///< By service.
     latency_histogram firstEvents; ///< From the send of a prompt to its first event.
     latency_histogram answers; ///< From a request's arrival to its final answer.
     counter &answered; ///< Final answers of backend servers.
--- a/include/marjoramloom/gateway/load_exchange.h
+++ b/include/marjoramloom/gateway/load_exchange.h
@@ -17,86 +17,87 @@
 class RouterDatagram;
 } // namespace wire
 
-/// What routers tell and ask each other, by datagrams.
+/// Exchanges load reports, placement queries and store updates between routers by UDP datagrams.
 ///
-/// In a small fleet every router tells all others its load several times a second, so each of them can place prompts by
-/// its own view. In a larger one it tells only the dispatchers of the engines concerned, which answer with heartbeats:
-/// what a router sends then does not grow with the fleet. Each report replaces the one before it, so a lost one is made
-/// up for by the next. Belongs to the router's only thread.
+/// In a small fleet every router reports its load to all others several times a second, so each can place prompts from
+/// its own load data. In a larger fleet it reports only to the dispatchers of the engines that it uses, which answer
+/// with heartbeats, so the traffic of a router does not grow with the fleet. Each report replaces the previous one, so
+/// a lost report needs no retransmission. Not thread safe: belongs to the router's only thread.
 class load_exchange
 {
 public:
-    /// Takes questions and news about the store from another router.
-    struct store_listeners
+    /// Handlers of the queries and updates about the store that other routers send.
+    struct store_handlers
     {
         std::function<void(std::uint64_t router, const store_question &question)> onQuestion;
         std::function<void(const store_news &news)> onNews;
     };
 
-    /// Precondition: \p state outlives the exchange.
+    /// Precondition: \p state outlives this object.
     load_exchange(boost::asio::any_io_executor executor, gateway_state &state, router_identity self,
                   std::uint64_t incarnation);
 
-    /// Opens the socket at \p address, IP:port, which the others can reach; false where it cannot be had.
+    /// Opens the socket at \p address, IP:port, at which the other routers reach this one. Returns false, with the
+    /// reason in \p why, on failure.
     auto listen(const std::string &address, last_reason &why) -> bool;
 
-    /// Call before receive().
-    auto setStoreListeners(store_listeners listening) -> void;
+    /// Precondition: receive() was not called yet.
+    auto setStoreHandlers(store_handlers handlers) -> void;
 
-    /// Another router is known to exist: this one makes itself known to it where it is new.
-    auto meet(router_identity identity) -> void;
+    /// Adds another router to the roster; if it is new, sends it this router's identity.
+    auto addRouter(router_identity identity) -> void;
 
-    /// Sends reports; ends with its executor.
+    /// Sends load reports periodically, until the executor stops.
     auto sendReports() -> boost::asio::awaitable<void>;
 
-    /// Receives datagrams; ends with its executor.
+    /// Receives datagrams until the executor stops.
     auto receive() -> boost::asio::awaitable<void>;
 
-    /// Tells the others that this router stops.
-    auto leave() -> void;
+    /// Informs all other routers that this one stops.
+    auto announceStop() -> void;
 
-    auto sendQuestion(std::uint64_t router, const store_question &question) -> void;
-    auto sendNews(std::uint64_t router, const store_news &news) -> void;
+    auto sendStoreQuery(std::uint64_t router, const store_question &question) -> void;
+    auto sendStoreUpdate(std::uint64_t router, const store_news &news) -> void;
 
-    /// Asks and answers for the router's placements. Call before run.
+    /// Sends and answers placement queries for this router.
     [[nodiscard]] auto dispatch() -> placement_dispatch &;
 
 private:
     using udp = boost::asio::ip::udp;
 
-    /// Engines that one report is about; all of them where no part is named.
+    /// Engines that a report covers: those of the shards, or all engines if no shard is given.
     struct report_scope
     {
-        std::vector<engine_part> parts;
+        std::vector<engine_shard> shards;
 
-        [[nodiscard]] auto holds(const std::string &server) const -> bool;
+        [[nodiscard]] auto contains(const std::string &server) const -> bool;
     };
 
-    auto hasFullView() const -> bool;
+    auto isFullMesh() const -> bool;
     auto reportToAll(time_point now) -> void;
     auto reportToDispatchers(time_point now) -> void;
-    auto probeSilentDispatchers(const std::string &service, const engine_part &part, time_point now) -> void;
+    auto probeSilentDispatchers(const std::string &service, const engine_shard &shard, time_point now) -> void;
     auto makeReport(const report_scope &scope) -> wire::RouterDatagram;
     auto sendQuery(std::uint64_t router, std::uint64_t number, const placement_query &query) -> void;
     auto send(std::uint64_t router, wire::RouterDatagram &datagram) -> void;
-    auto take(std::string_view bytes) -> void;
-    auto takeReport(std::uint64_t router, std::uint64_t incarnation, const wire::LoadReport &report) -> void;
-    auto takeQuery(std::uint64_t router, std::uint64_t incarnation, const wire::PlacementQuery &query) -> void;
-    auto acknowledge(std::uint64_t router, time_point now) -> void;
+    auto handleDatagram(std::string_view bytes) -> void;
+    auto handleReport(std::uint64_t router, std::uint64_t incarnation, const wire::LoadReport &report) -> void;
+    auto handleQuery(std::uint64_t router, std::uint64_t incarnation, const wire::PlacementQuery &query) -> void;
+    auto sendHeartbeat(std::uint64_t router, time_point now) -> void;
 
     boost::asio::any_io_executor m_executor;
     gateway_state &m_state;
     router_identity m_self;
     std::uint64_t m_incarnation;
     udp::socket m_socket;
-    std::unordered_map<std::uint64_t, udp::endpoint> m_endpoints; ///< Of the known routers.
-    std::unordered_map<std::uint64_t, time_point> m_lastHeartbeat; ///< To routers that report here.
-    std::unordered_map<std::uint64_t, time_point> m_lastProbe; ///< Of dispatchers that fell silent.
-    store_listeners m_listening;
-    std::uint64_t m_sequence = 0;
-    counter &m_unreadable;
-    counter &m_received;
-    counter &m_sent;
+    std::unordered_map<std::uint64_t, udp::endpoint> m_endpoints; ///< By router id.
+    std::unordered_map<std::uint64_t, time_point> m_lastHeartbeatSent; ///< By id of the router that reports here.
+    std::unordered_map<std::uint64_t, time_point> m_lastProbeSent; ///< By id of the silent dispatcher.
+    store_handlers m_storeHandlers;
+    std::uint64_t m_reportSequence = 0;
+    counter &m_unreadableDatagrams;
+    counter &m_receivedDatagrams;
+    counter &m_sentDatagrams;
     placement_dispatch m_dispatch;
 };
 
--- a/include/marjoramloom/gateway/placement_dispatch.h
+++ b/include/marjoramloom/gateway/placement_dispatch.h
@@ -12,56 +12,56 @@
 
 namespace marjoramloom {
 
-/// An answer to a placement query, between routers.
+/// A dispatcher's answer to a placement query of another router.
 struct placement_answer
 {
     std::uint64_t number = 0; ///< Of the query.
-    std::uint64_t sequence = 0; ///< Of the dispatcher's placements for the asking router.
-    std::uint64_t server = 0; ///< Run of an engine; 0 where the request is refused.
-    std::uint32_t tokensToRead = 0;
+    std::uint64_t sequence = 0; ///< Of the dispatcher's placements for the asking router; 0 if refused.
+    std::uint64_t server = 0; ///< Incarnation of the engine; 0 if the request is refused.
+    std::uint32_t prefillTokens = 0;
     duration wait{};
     duration firstEvent{};
     std::uint32_t running = 0;
     std::uint32_t candidates = 0;
 };
 
-/// Lets one router, the dispatcher, place all prompts of a part of a service's engines one after the other.
+/// Lets one router, the dispatcher, place all prompts of a shard of a service's engines one after the other.
 ///
-/// The load it answers: prompts that arrive at many routers in the same moment would all find the same engines idle.
-/// Which router dispatches follows from the routers that answer, in the order of the roster; it holds nothing that must
-/// last, and two dispatchers at once do no harm. A router that gets no answer within a few tens of milliseconds decides
-/// by its own view, and asks no further for a while. Belongs to the router's only thread.
+/// Without it, routers that get prompts at the same moment would all choose the same idle engines. The dispatcher is
+/// the first responsive router in the roster's dispatch order. It holds no durable state, and two dispatchers at once
+/// are harmless. A router that gets no answer within ANSWER_TIMEOUT decides from its own load data, and skips a
+/// dispatcher that repeatedly does not answer. Not thread safe: belongs to the router's only thread.
 class placement_dispatch
 {
 public:
     using send_query = std::function<void(std::uint64_t router, std::uint64_t number, const placement_query &query)>;
 
-    /// Preconditions: \p state outlives the dispatch. \p send delivers a query to another router, or loses it.
+    /// Preconditions: \p state outlives this object; \p send delivers a query to another router, or loses it silently.
     placement_dispatch(boost::asio::any_io_executor executor, gateway_state &state, send_query send);
 
-    /// The router that dispatches for \p part of \p service, as far as this one can tell.
-    auto dispatcherOf(const std::string &service, std::uint32_t part, time_point now) -> std::uint64_t;
+    /// The id of the dispatcher of \p shard of \p service, as far as this router knows.
+    auto dispatcherOf(const std::string &service, std::uint32_t shard, time_point now) -> std::uint64_t;
 
-    /// The dispatcher's decision, or this router's own where the dispatcher gives none in time. Nothing where no engine
-    /// can be used.
+    /// The dispatcher's decision, or this router's own if the dispatcher does not answer in time. Returns nothing, with
+    /// the reason in \p why, if no engine can be used.
     auto decide(const placement_query &query, last_reason &why)
         -> boost::asio::awaitable<std::optional<engine_decision>>;
 
-    /// Decides for another router, of the incarnation \p asking. Nothing where this router cannot tell: the other one
-    /// then decides itself.
-    auto answer(std::uint64_t asking, std::uint64_t number, const placement_query &query)
+    /// Decides for the router with the incarnation \p askingRouter. Returns nothing if this router knows no usable
+    /// engine; the asking router then decides itself.
+    auto answer(std::uint64_t askingRouter, std::uint64_t number, const placement_query &query)
         -> std::optional<placement_answer>;
 
-    /// Takes an answer from the dispatcher of the incarnation \p dispatcher.
-    auto take(std::uint64_t dispatcher, const placement_answer &answer) -> void;
+    /// Completes the query that \p answer, from the router incarnation \p dispatcher, belongs to.
+    auto handleAnswer(std::uint64_t dispatcher, const placement_answer &answer) -> void;
 
-    /// The last placement heard from each dispatcher's incarnation.
-    [[nodiscard]] auto heard() const -> const std::map<std::uint64_t, std::uint64_t> &;
+    /// The sequence number of the last placement received from each dispatcher, by its incarnation.
+    [[nodiscard]] auto lastSequences() const -> const std::map<std::uint64_t, std::uint64_t> &;
 
 private:
-    struct waiting_query
+    struct pending_query
     {
-        explicit waiting_query(const boost::asio::any_io_executor &executor)
+        explicit pending_query(const boost::asio::any_io_executor &executor)
             : timer(executor)
         {
         }
@@ -69,19 +69,18 @@
         std::optional<placement_answer> answer;
     };
 
-    /// Longest wait for an answer: some round trips between data centres.
-    static constexpr duration ANSWER_LIMIT = std::chrono::milliseconds(25);
-    /// A dispatcher that left this many queries in a row unanswered is passed over for PASS_TIME, in favour of the
-    /// next.
-    static constexpr std::uint32_t MISSES_ALLOWED = 2;
-    static constexpr duration PASS_TIME = std::chrono::milliseconds(400);
-    /// Dispatchers that are asked before this router decides by its own view.
-    static constexpr std::size_t DISPATCHERS_TRIED = 3;
+    /// Allows for several round trips between data centres.
+    static constexpr duration ANSWER_TIMEOUT = std::chrono::milliseconds(25);
+    /// A dispatcher that leaves this many queries in a row unanswered is skipped for SKIP_TIME in favour of the next.
+    static constexpr std::uint32_t MAX_UNANSWERED_QUERIES = 2;
+    static constexpr duration SKIP_TIME = std::chrono::milliseconds(400);
+    /// With this many dispatchers skipped, the router decides from its own load data.
+    static constexpr std::size_t MAX_SKIPPED_DISPATCHERS = 3;
 
-    struct asked_router
+    struct dispatcher_status
     {
-        std::uint32_t misses = 0;
-        time_point passedOverUntil{};
+        std::uint32_t unansweredQueries = 0;
+        time_point skippedUntil{};
     };
 
     auto ask(std::uint64_t dispatcher, const placement_query &query)
@@ -92,11 +91,11 @@
     gateway_state &m_state;
     send_query m_send;
     std::uint64_t m_nextNumber = 0;
-    std::map<std::uint64_t, std::shared_ptr<waiting_query>> m_waiting; ///< By the query's number.
-    std::map<std::uint64_t, std::uint64_t> m_heard;
-    std::unordered_map<std::uint64_t, asked_router> m_asked;
-    counter &m_answered;
-    counter &m_missed;
+    std::map<std::uint64_t, std::shared_ptr<pending_query>> m_pendingQueries; ///< By the query's number.
+    std::map<std::uint64_t, std::uint64_t> m_lastSequences;
+    std::unordered_map<std::uint64_t, dispatcher_status> m_dispatcherStatus;
+    counter &m_decidedByDispatcher;
+    counter &m_decidedLocally;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/prompt_placement.h
+++ b/include/marjoramloom/gateway/prompt_placement.h
@@ -9,58 +9,62 @@
 
 namespace marjoramloom {
 
-/// An engine as a place for a prompt.
+/// State of one engine, for the placement of one prompt.
 struct engine_candidate
 {
-    std::uint64_t home = 0; ///< From homeScore(): the highest among the candidates is the prompt's home.
+    std::uint64_t homeRank = 0; ///< From homeScore(); the candidate with the highest rank is the prompt's home engine.
     std::uint32_t running = 0; ///< Requests at the engine.
-    std::uint32_t slots = 1;
-    std::uint64_t unreadTokens = 0; ///< Prompt tokens ahead of a new request.
-    std::uint32_t keptTokens = 0; ///< Of this prompt, taken to be kept there.
-    bool avoided = false; ///< Failed lately.
+    std::uint32_t slots = 1; ///< Requests that the engine accepts at once.
+    std::uint64_t pendingPrefillTokens = 0; ///< Prompt tokens that the engine has to prefill before a new request's.
+    std::uint32_t cachedTokens = 0; ///< Tokens of this prompt in the engine's prefix cache, by estimate.
+    bool avoided = false; ///< The engine failed recently.
 };
 
+/// The engine chosen for a prompt, and what is expected of it.
 struct engine_choice
 {
-    std::size_t index = 0; ///< Of the candidate.
-    std::uint32_t tokensToRead = 0;
-    duration wait{}; ///< Until the engine begins to read the prompt.
+    std::size_t index = 0; ///< Of the chosen candidate.
+    std::uint32_t prefillTokens = 0; ///< Tokens of the prompt that are not cached.
+    duration wait{}; ///< Expected time until the engine begins to prefill the prompt.
     duration firstEvent{}; ///< Expected time to the first event.
 };
 
-/// How engines read prompts.
-struct reading_pace
+/// Model of the engines' prefill speed.
+struct prefill_rate
 {
-    /// Of the prompt itself, while other requests' tokens are generated in between.
+    /// For the prompt itself, while the engine also decodes other requests.
     double tokensPerMs = 31;
-    /// Of the prompts ahead. More, as they count in full until their first events, when they have long been read.
-    double aheadPerMs = 60;
-    duration overhead = std::chrono::milliseconds(20); ///< From the send to the first event without any reading.
+    /// For the prompts ahead. It is higher because their tokens count in full until their first event, when most of
+    /// them have long been prefilled.
+    double queuedTokensPerMs = 60;
+    duration overhead = std::chrono::milliseconds(20); ///< From the send to the first event without any prefill.
 };
 
-/// Chooses the engine whose first event is to be expected soonest.
+/// Chooses the engine with the earliest expected first event.
 ///
-/// The load it answers: prompts with long shared parts, of which every engine can keep only some, and arrivals in
-/// clumps. What counts is what an engine has still to read, other requests' prompts included; a prompt's home engine
-/// keeps its shared parts, so sessions stay together until their home is so loaded that reading anew elsewhere is
-/// faster. Thread safe: it holds no state.
+/// It is made for prompts with long shared prefixes, of which each engine can cache only some, and for bursts of
+/// arrivals. The cost of an engine is its pending prefill work, including other requests' prompts. A prompt's home
+/// engine usually has its shared prefix cached, so a session stays at its home engine until that is so loaded that
+/// prefilling the whole prompt elsewhere is faster. Thread safe: immutable.
 class prompt_placement
 {
 public:
-    explicit prompt_placement(reading_pace pace);
+    explicit prompt_placement(prefill_rate rate);
 
-    /// The best of \p candidates for a prompt of \p promptTokens; nothing where every engine is full.
+    /// The best of \p candidates for a prompt of \p promptTokens; nothing if every engine is full.
     [[nodiscard]] auto choose(std::span<const engine_candidate> candidates, std::uint32_t promptTokens) const
         -> std::optional<engine_choice>;
 
-    /// Rank of an engine for prompts whose shared parts end with \p sharedPart; equal on every router.
-    [[nodiscard]] static auto homeScore(std::string_view server, std::uint64_t sharedPart) -> std::uint64_t;
+    /// Rank of the engine \p server for prompts with the shared prefix \p sharedPrefixId (rendezvous hashing); equal on
+    /// every router.
+    [[nodiscard]] static auto homeScore(std::string_view server, std::uint64_t sharedPrefixId) -> std::uint64_t;
 
 private:
-    [[nodiscard]] auto waitAt(const engine_candidate &candidate) const -> duration;
-    [[nodiscard]] auto expected(const engine_candidate &candidate, std::uint32_t promptTokens) const -> duration;
+    [[nodiscard]] auto queueWait(const engine_candidate &candidate) const -> duration;
+    [[nodiscard]] auto expectedFirstEvent(const engine_candidate &candidate, std::uint32_t promptTokens) const
+        -> duration;
 
-    reading_pace m_pace;
+    prefill_rate m_rate;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/route_table.h
+++ b/include/marjoramloom/gateway/route_table.h
@@ -13,11 +13,11 @@
 
 namespace marjoramloom {
 
-/// What may be repeated of a route's requests.
+/// How often a request of a route may be executed.
 enum class route_kind {
-    repeatable, ///< May run any number of times.
+    repeatable, ///< Idempotent: may be executed any number of times.
     atMostOnce,
-    eventStream, ///< At most once, unless the route says that a stream may be resumed.
+    eventStream, ///< Answered by a stream of events; at most once, unless the route is resumable.
 };
 
 template<>
@@ -37,7 +37,7 @@
     std::uint32_t weight = 1;
 };
 
-/// How requests of one host and path prefix are treated.
+/// Settings of the requests to one host and path prefix.
 struct route_rule
 {
     std::string name;
@@ -46,42 +46,44 @@
     route_kind kind = route_kind::atMostOnce;
     std::vector<weighted_service> targets; ///< Not empty.
     std::chrono::milliseconds timeout{ 60'000 }; ///< Longest time to the final answer.
-    std::chrono::milliseconds latencyObjective{ 1'000 }; ///< To the answer; of a stream, to its first event.
-    std::chrono::milliseconds eventGapObjective{ 1'000 }; ///< Longest pause between two events that is still good.
-    std::uint32_t serverLimit = 1; ///< Backend servers that one request may be sent to.
+    std::chrono::milliseconds latencyObjective{ 1'000 }; ///< To the answer or, for a stream, to its first event.
+    std::chrono::milliseconds eventGapObjective{ 1'000 }; ///< Longest acceptable gap between two events.
+    std::uint32_t maxAttempts = 1; ///< Attempts of one request, at different backend servers.
     std::uint32_t priority = 0; ///< 0 is the most urgent.
-    bool anonymous = false; ///< Needs no key.
-    bool carriesPrompt = false; ///< Requests name the parts of their prompt.
-    bool resumable = false; ///< A stream may go on at another backend server.
+    bool anonymous = false; ///< Requests need no key.
+    bool carriesPrompt = false; ///< Requests list the prefix blocks of their prompt.
+    bool resumable = false; ///< A stream may be resumed at another backend server.
 
-    /// Whether a request that may have run can be sent again.
-    [[nodiscard]] auto mayRepeat() const -> bool
+    /// Whether a request that may have been executed can be retried.
+    [[nodiscard]] auto mayRetry() const -> bool
     {
         return kind == route_kind::repeatable || (kind == route_kind::eventStream && resumable);
     }
 };
 
-/// What the configuration says of the model engines of a service.
+/// Capacity of each model engine of a service.
 struct engine_profile
 {
-    std::uint32_t slots = 1;
-    std::uint64_t memoryTokens = 0; ///< Of running requests and kept prompt parts together.
+    std::uint32_t slots = 1; ///< Requests that run at once.
+    std::uint64_t kvCapacityTokens = 0; ///< KV memory, shared by running requests and the prefix cache.
 };
 
+/// A service of backend servers that routes may name.
 struct routed_service
 {
     std::string name;
     std::uint32_t connectionLimit = 0; ///< Connections that one backend server accepts from all routers.
-    std::optional<engine_profile> engine; ///< Absent for plain services.
+    std::optional<engine_profile> engine; ///< Only for services of model engines.
 };
 
+/// A client account.
 struct routed_account
 {
     std::string name;
-    std::optional<std::uint32_t> priority; ///< Goes before the route's.
+    std::optional<std::uint32_t> priority; ///< Overrides the priority of the route.
 };
 
-/// What callers may send, and how long they may take.
+/// Limits on the size of callers' requests and on the time they take to send them.
 struct caller_limits
 {
     std::uint32_t headerBytes = 32U << 10U;
@@ -90,7 +92,7 @@
     std::chrono::milliseconds idleTimeout{ 60'000 };
 };
 
-/// The parts of a route table, as its source gives them.
+/// Content of a route_table, as decoded from the configuration.
 struct route_table_content
 {
     std::uint64_t version = 0;
@@ -98,7 +100,7 @@
     std::vector<routed_service> services;
     std::unordered_map<std::string, routed_account> accountsByKey;
     caller_limits limits;
-    double tokensPerSecond = 0; ///< What all engines produce together; 0 where unknown.
+    double tokensPerSecond = 0; ///< Total output rate of all engines; 0 if unknown.
 };
 
 /// One version of the routes, services and keys in force. Immutable; thread safe.
@@ -109,12 +111,13 @@
 
     [[nodiscard]] auto version() const -> std::uint64_t;
 
-    /// The route of \p host with the longest prefix of \p path (without a query); null where there is none.
+    /// The route of \p host with the longest prefix of \p path (without a query); null if none matches.
     [[nodiscard]] auto findRoute(std::string_view host, std::string_view path) const -> const route_rule *;
 
-    /// The client account that holds \p key; null where none does.
+    /// The client account of \p key; null if the key is unknown.
     [[nodiscard]] auto findAccount(const std::string &key) const -> const routed_account *;
 
+    /// The service \p name; null if it is not configured.
     [[nodiscard]] auto findService(const std::string &name) const -> const routed_service *;
     [[nodiscard]] auto services() const -> const std::vector<routed_service> &;
     [[nodiscard]] auto limits() const -> const caller_limits &;
@@ -126,8 +129,8 @@
     using routes_by_prefix = std::unordered_map<std::string, std::size_t>;
 
     route_table_content m_content;
-    std::unordered_map<std::string, routes_by_prefix> m_byHost; ///< Indexes of m_content.routes.
-    std::unordered_map<std::string, std::size_t> m_services; ///< Indexes of m_content.services.
+    std::unordered_map<std::string, routes_by_prefix> m_routesByHost; ///< Indexes of m_content.routes.
+    std::unordered_map<std::string, std::size_t> m_serviceIndexes; ///< Indexes of m_content.services.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/router_roster.h
+++ b/include/marjoramloom/gateway/router_roster.h
@@ -10,30 +10,31 @@
 
 namespace marjoramloom {
 
-/// A router as it describes itself to the others.
+/// Address and capacity of a router, as it announces them to the others.
 struct router_identity
 {
-    std::string address; ///< IP:port at which the other routers reach it; a restart keeps it.
+    std::string address; ///< IP:port at which the other routers reach it; unchanged by a restart.
     std::string dataCentre;
-    double cores = 1; ///< Share of a processor core that it may use.
+    double cores = 1; ///< CPU cores that it may use; may be a fraction.
 };
 
-/// The routers of the fleet, who of them answers, and who of them carries a duty.
+/// The routers of the fleet, which of them are responsive, and the order in which they take on roles (dispatcher of an
+/// engine shard, watcher of the store).
 ///
-/// Duties follow from the list alone: every router computes the same order for a duty and takes the first one that
-/// answers. Routers may disagree for a while, so no duty may have to be held once. A router counts as silent when it
-/// was sent something that it should have answered and did not within SILENCE_LIMIT. Not thread safe.
+/// Roles follow from the list alone: every router computes the same order for a role and selects the first responsive
+/// router. Routers may disagree for a while, so no role may depend on a single holder. A router counts as silent if it
+/// did not answer a message that needs an answer within SILENCE_LIMIT. Not thread safe.
 class router_roster
 {
 public:
-    /// Several answers are missed before a router counts as silent.
+    /// Long enough for several answers to be missing.
     static constexpr duration SILENCE_LIMIT = std::chrono::milliseconds(700);
-    /// Routers with less than this part of the largest one's processor come after all others for dispatching.
-    static constexpr double LARGE_PART = 0.5;
+    /// Routers with less than this fraction of the largest router's cores come last in the dispatch order.
+    static constexpr double LARGE_ROUTER_FRACTION = 0.5;
 
     explicit router_roster(router_identity self);
 
-    /// Number of the router at \p address; equal on every router.
+    /// Id of the router at \p address: a hash, equal on every router.
     [[nodiscard]] static auto idOf(const std::string &address) -> std::uint64_t;
 
     [[nodiscard]] auto self() const -> std::uint64_t;
@@ -41,25 +42,27 @@
     [[nodiscard]] auto knows(std::uint64_t id) const -> bool;
     [[nodiscard]] auto others() const -> std::vector<std::uint64_t>;
 
-    /// A router described itself. True where it was not known yet.
+    /// Adds or updates a router. Returns true if it was not known yet.
     auto put(router_identity identity) -> bool;
 
-    /// The router \p id was sent something that it answers.
-    auto noteAsked(std::uint64_t id, time_point now) -> void;
+    /// Records that the router \p id was sent a message that it has to answer.
+    auto noteRequestSent(std::uint64_t id, time_point now) -> void;
 
-    /// Something came from the router \p id.
-    auto noteHeard(std::uint64_t id) -> void;
+    /// Records that a message came from the router \p id.
+    auto noteMessageReceived(std::uint64_t id) -> void;
 
-    /// The router \p id stops: it gets no duty until it is heard of again.
-    auto noteLeft(std::uint64_t id, time_point now) -> void;
+    /// Records that the router \p id stops: it is not responsive until a message from it arrives.
+    auto noteStopping(std::uint64_t id, time_point now) -> void;
 
-    [[nodiscard]] auto answers(std::uint64_t id, time_point now) const -> bool;
+    /// Whether the router \p id is known and neither silent nor stopping; always true for this router.
+    [[nodiscard]] auto isResponsive(std::uint64_t id, time_point now) const -> bool;
 
-    /// The order in which routers dispatch for \p part of the service with the hash \p service: large routers first.
-    /// Neighbouring parts begin with different routers. The reference is valid until the next put().
-    auto dispatchOrder(std::uint64_t service, std::uint32_t part) -> const std::vector<std::uint64_t> &;
+    /// The routers in the order in which they become dispatcher of a shard of a service: large routers first.
+    /// Neighbouring shards begin with different routers. The reference is valid until the next put().
+    auto dispatchOrder(std::uint64_t serviceHash, std::uint32_t shard) -> const std::vector<std::uint64_t> &;
 
-    /// The order in which the routers of this router's data centre watch the store for the others.
+    /// The routers of this router's data centre in the order in which they become watchers of the store. The reference
+    /// is valid until the next put().
     auto watchOrder() -> const std::vector<std::uint64_t> &;
 
 private:
@@ -67,12 +70,13 @@
     {
         router_identity identity;
         std::optional<time_point> unansweredSince;
-        bool left = false;
+        bool stopped = false;
     };
 
     std::uint64_t m_self;
     std::unordered_map<std::uint64_t, known_router> m_routers;
-    std::unordered_map<std::uint64_t, std::vector<std::uint64_t>> m_dispatchOrders; ///< By service and part.
+    /// By service hash plus shard index.
+    std::unordered_map<std::uint64_t, std::vector<std::uint64_t>> m_dispatchOrders;
     std::vector<std::uint64_t> m_watchOrder;
 };
 
--- a/include/marjoramloom/gateway/server_choice.h
+++ b/include/marjoramloom/gateway/server_choice.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "marjoramloom/core/last_reason.h"
-#include "marjoramloom/gateway/engine_parts.h"
+#include "marjoramloom/gateway/engine_shards.h"
 #include "marjoramloom/gateway/gateway_state.h"
 #include "marjoramloom/gateway/routed_request.h"
 
@@ -9,31 +9,31 @@
 
 namespace marjoramloom {
 
-/// Runs of backend servers at which a request was tried in vain.
+/// Incarnations of the backend servers at which a request failed.
 using tried_servers = std::set<std::uint64_t>;
 
-/// A backend server for one send of a request, and what was known when it was chosen.
+/// The backend server for one attempt of a request, and the load estimates at the time of the choice.
 struct chosen_server
 {
     server_directory::server_ptr server;
-    std::uint32_t tokensToRead = 0; ///< Prompt tokens that the server is expected to read.
-    duration wait{}; ///< Expected time until the server begins with the request.
+    std::uint32_t prefillTokens = 0; ///< Prompt tokens that the server is expected to prefill.
+    duration wait{}; ///< Expected time until the server starts on the request.
     duration firstEvent{}; ///< Expected time to the first event; 0 for plain services.
-    std::uint32_t running = 0; ///< Requests known to be at the server.
-    std::size_t candidates = 0;
+    std::uint32_t running = 0; ///< Requests at the server, as far as known.
+    std::size_t candidates = 0; ///< Servers among which it was chosen.
 };
 
-/// One of \p route's services, drawn by their weights.
+/// One of \p route's services, at random in proportion to their weights. Precondition: the route has targets.
 auto chooseService(const route_rule &route, boost::random::mt19937_64 &random) -> const std::string &;
 
-/// The engine in \p part of \p service for \p prompt that is not among \p tried. Nothing where none is left or all are
-/// full: the reason's kind tells which (notFound, overloaded). Precondition: the service is one of engines.
-auto chooseEngine(gateway_state &state, const routed_service &service, const engine_part &part,
+/// Chooses an engine in \p shard of \p service for \p prompt that is not among \p tried. Returns nothing if none is
+/// left (failure kind notFound) or all are full (overloaded). Precondition: the service is one of engines.
+auto chooseEngine(gateway_state &state, const routed_service &service, const engine_shard &shard,
                   const prompt_outline &prompt, const tried_servers &tried, time_point now, last_reason &why)
     -> std::optional<chosen_server>;
 
-/// The same for a plain service.
-auto choosePlain(gateway_state &state, const routed_service &service, const tried_servers &tried, time_point now,
-                 last_reason &why) -> std::optional<chosen_server>;
+/// Chooses a server of a plain service; fails like chooseEngine().
+auto choosePlainServer(gateway_state &state, const routed_service &service, const tried_servers &tried, time_point now,
+                       last_reason &why) -> std::optional<chosen_server>;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/server_loads.h
+++ b/include/marjoramloom/gateway/server_loads.h
@@ -2,7 +2,7 @@
 
 #include "marjoramloom/core/clock.h"
 #include "marjoramloom/gateway/listed_server.h"
-#include "marjoramloom/gateway/part_memory.h"
+#include "marjoramloom/gateway/prefix_cache_estimate.h"
 #include "marjoramloom/gateway/routed_request.h"
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace marjoramloom {
 
-/// What this router knows of the load of one run of a backend server.
+/// Load and recent failures of one incarnation of a backend server, as this router knows them.
 struct server_load
 {
-    std::uint32_t running = 0; ///< Own requests at the server.
-    std::uint64_t unreadTokens = 0; ///< Prompt tokens of own requests that the server has still to read.
-    std::uint32_t failuresInRow = 0;
-    time_point avoidedUntil{}; ///< After failures, others go first until then.
-    std::uint64_t suspectedBy = 0; ///< Router that last said that the server failed a request.
+    std::uint32_t running = 0; ///< Requests of this router at the server.
+    std::uint64_t pendingPrefillTokens = 0; ///< Of this router's prompts, tokens still to be prefilled there.
+    std::uint32_t consecutiveFailures = 0;
+    time_point avoidedUntil{}; ///< After failures, other servers are preferred until then.
+    std::uint64_t suspectedBy = 0; ///< Router that last reported a failed request at the server.
     time_point suspectedAt{};
-    part_memory parts;
+    prefix_cache_estimate parts; ///< Prefix blocks that the server is assumed to have cached.
 
     [[nodiscard]] auto isAvoided(time_point now) const -> bool
     {
@@ -27,43 +27,44 @@
     }
 };
 
-/// Loads of all backend servers, by their runs. Not thread safe.
+/// Loads of all backend servers, by incarnation. Not thread safe.
 class server_loads
 {
 public:
-    /// Number of a run of a backend server, equal on every router.
-    [[nodiscard]] static auto runId(const listed_server &server) -> std::uint64_t;
+    /// Id of an incarnation of a backend server: a hash, equal on every router.
+    [[nodiscard]] static auto incarnationId(const listed_server &server) -> std::uint64_t;
 
-    /// The load of \p server; made on first use. The reference is valid until forget().
+    /// The load of \p server; created on first use. The reference is valid until forget().
     auto at(const listed_server &server) -> server_load &;
 
-    /// The load of the run \p id, or null where nothing is known of it.
+    /// The load of the incarnation \p id, or null if there is none.
     [[nodiscard]] auto find(std::uint64_t id) -> server_load *;
 
     [[nodiscard]] auto all() const -> const std::unordered_map<std::uint64_t, server_load> &;
 
-    /// Drops what is known of \p server once nothing runs there any more.
+    /// Removes the load of \p server unless this router still has requests there.
     auto forget(const listed_server &server) -> void;
 
-    /// A request failed at \p server in a way that tells of the server rather than of the request.
+    /// Records that a request failed at \p server for a reason that lies with the server rather than with the request.
     auto noteFailure(const listed_server &server, time_point now) -> void;
 
-    /// The router \p router says that a request failed at the run \p id. It counts as a failure once two routers say so
-    /// within SUSPICION_TIME: one alone may be what is cut off.
+    /// Records that \p router reported a failed request at the incarnation \p id. It counts as a failure once two
+    /// routers report one within SUSPICION_WINDOW, as a single router may itself be cut off.
     auto noteSuspicion(std::uint64_t id, std::uint64_t router, time_point now) -> void;
 
-    /// The server answered as it should.
+    /// Records that \p server answered a request successfully, which ends its avoidance.
     auto noteSuccess(const listed_server &server) -> void;
 
-    static constexpr duration SUSPICION_TIME = std::chrono::milliseconds(1'000);
+    static constexpr duration SUSPICION_WINDOW = std::chrono::milliseconds(1'000);
 
 private:
     auto avoid(server_load &load, time_point now) -> void;
 
-    static constexpr duration AVOID_BASE = std::chrono::milliseconds(250); ///< Doubles with each failure in a row.
-    static constexpr duration AVOID_LIMIT = std::chrono::milliseconds(4'000);
+    /// Doubles with each further failure in a row.
+    static constexpr duration INITIAL_AVOID_TIME = std::chrono::milliseconds(250);
+    static constexpr duration MAX_AVOID_TIME = std::chrono::milliseconds(4'000);
 
-    std::unordered_map<std::uint64_t, server_load> m_loads; ///< By runId().
+    std::unordered_map<std::uint64_t, server_load> m_loads; ///< By incarnationId().
 };
 
 } // namespace marjoramloom
--- a/src/gateway/account_usage.cpp
+++ b/src/gateway/account_usage.cpp
@@ -16,26 +16,26 @@
 
 auto account_usage::noteStarted(std::uint64_t account, std::uint64_t tokens, time_point now) -> void
 {
-    m_accounts[account].add(tokens, now);
-    m_started.add(tokens, now);
+    m_localTokensByAccount[account].add(tokens, now);
+    m_localTokens.add(tokens, now);
 }
 
-auto account_usage::startedFraction(std::uint64_t account, time_point now) -> double
+auto account_usage::fleetShare(std::uint64_t account, time_point now) -> double
 {
-    const auto own = m_accounts.find(account);
-    const auto started =
-        (own == m_accounts.end() ? 0 : own->second.total(now)) + m_fleet.ofAccount(account).startedTokens;
-    const auto all = m_started.total(now) + m_fleet.startedTokens();
-    return all == 0 ? 0 : static_cast<double>(started) / static_cast<double>(all);
+    const auto local = m_localTokensByAccount.find(account);
+    const auto started = (local == m_localTokensByAccount.end() ? 0 : local->second.total(now))
+        + m_fleet.tokensOfAccount(account).startedTokens;
+    const auto allTokens = m_localTokens.total(now) + m_fleet.startedTokens();
+    return allTokens == 0 ? 0 : static_cast<double>(started) / static_cast<double>(allTokens);
 }
 
-auto account_usage::ownShares(time_point now) -> std::vector<account_share>
+auto account_usage::localAccountTokens(time_point now) -> std::vector<account_tokens>
 {
-    auto shares = std::vector<account_share>();
-    for (auto entry = m_accounts.begin(); entry != m_accounts.end();) {
+    auto shares = std::vector<account_tokens>();
+    for (auto entry = m_localTokensByAccount.begin(); entry != m_localTokensByAccount.end();) {
         const auto started = entry->second.total(now);
         if (started == 0) {
-            entry = m_accounts.erase(entry);
+            entry = m_localTokensByAccount.erase(entry);
             continue;
         }
         shares.push_back({ entry->first, static_cast<std::uint32_t>(started) });
--- a/src/gateway/admission_policy.cpp
+++ b/src/gateway/admission_policy.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// How much an account's patience falls as its part of the work grows by one, and its least value.
-constexpr double slope = 2.0;
-constexpr double leastPatience = 0.25;
-/// Part of the objective that a prompt may wait even where its own reading takes longer: the largest prompts would
-/// never be served otherwise.
-constexpr double leastWait = 0.35;
+/// The factor of the allowed wait is 1 - waitReductionPerShare * account share, and at least minWaitFactor.
+constexpr double waitReductionPerShare = 2.0;
+constexpr double minWaitFactor = 0.25;
+/// Fraction of the objective that a prompt may wait even if its own prefill takes longer than the objective; otherwise
+/// the largest prompts would never be served.
+constexpr double minWaitFraction = 0.35;
 
 } // namespace
 
-auto admission_policy::longestWait(duration objective, duration reading, double fraction) const -> duration
+auto admission_policy::maxWait(duration objective, duration prefillTime, double accountShare) const -> duration
 {
-    const auto patience = std::max(1 - slope * fraction, leastPatience);
-    const auto inTime =
-        std::max<duration>(objective - reading, std::chrono::duration_cast<duration>(objective * leastWait));
-    return std::chrono::duration_cast<duration>(inTime * patience);
+    const auto waitFactor = std::max(1 - waitReductionPerShare * accountShare, minWaitFactor);
+    const auto timeForWaiting =
+        std::max<duration>(objective - prefillTime, std::chrono::duration_cast<duration>(objective * minWaitFraction));
+    return std::chrono::duration_cast<duration>(timeForWaiting * waitFactor);
 }
 
 } // namespace marjoramloom
--- a/src/gateway/datagram_codec.cpp
+++ b/src/gateway/datagram_codec.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Parts from two lists of equal length; nothing where the lengths differ.
+/// Combines the lists of block ids and token counts; nothing if their lengths differ.
 template<typename Message>
 auto readParts(const Message &message) -> std::optional<std::vector<prompt_part>>
 {
@@ -89,7 +89,7 @@
     query.prompt.parts = std::move(*parts);
     query.prompt.promptTokens = message.prompt_tokens();
     query.failed.insert(message.failed().begin(), message.failed().end());
-    query.begun = message.begun();
+    query.alreadySent = message.begun();
     query.objective = std::chrono::milliseconds(message.objective_ms());
     return query;
 }
@@ -104,10 +104,10 @@
         static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(query.objective).count()));
     message.set_engine_part(query.part.index);
     message.set_engine_parts(query.part.count);
-    for (const auto run : query.failed) {
-        message.add_failed(run);
+    for (const auto server : query.failed) {
+        message.add_failed(server);
     }
-    message.set_begun(query.begun);
+    message.set_begun(query.alreadySent);
 }
 
 auto readAnswer(const wire::PlacementAnswer &message) -> placement_answer
@@ -115,7 +115,7 @@
     return { .number = message.number(),
              .sequence = message.sequence(),
              .server = message.server(),
-             .tokensToRead = message.tokens_to_read(),
+             .prefillTokens = message.tokens_to_read(),
              .wait = std::chrono::microseconds(message.wait_us()),
              .firstEvent = std::chrono::microseconds(message.first_event_us()),
              .running = message.running(),
@@ -127,14 +127,14 @@
     message.set_number(answer.number);
     message.set_sequence(answer.sequence);
     message.set_server(answer.server);
-    message.set_tokens_to_read(answer.tokensToRead);
+    message.set_tokens_to_read(answer.prefillTokens);
     message.set_wait_us(toMicroseconds(answer.wait));
     message.set_first_event_us(toMicroseconds(answer.firstEvent));
     message.set_running(answer.running);
     message.set_candidates(answer.candidates);
 }
 
-auto readNews(const wire::StoreNews &message) -> store_news
+auto readStoreUpdate(const wire::StoreNews &message) -> store_news
 {
     auto news = store_news{ .number = message.number(),
                             .proofAge = std::nullopt,
@@ -147,9 +147,11 @@
     if (message.proved()) {
         news.proofAge = std::chrono::milliseconds(message.proof_age_ms());
     }
-    for (const auto &row : message.changes()) {
-        auto object = stored_object{ .kind = {}, .name = row.id(), .revision = row.revision(), .value = row.entry() };
-        news.changes.push_back({ .object = std::move(object), .removed = row.removed() });
+    for (const auto &serverChange : message.changes()) {
+        auto object = stored_object{
+            .kind = {}, .name = serverChange.id(), .revision = serverChange.revision(), .value = serverChange.entry()
+        };
+        news.changes.push_back({ .object = std::move(object), .removed = serverChange.removed() });
     }
     return news;
 }
@@ -163,11 +165,11 @@
     message.set_servers_after(news.serversAfter);
     message.set_servers_revision(news.serversRevision);
     for (const auto &change : news.changes) {
-        auto *row = message.add_changes();
-        row->set_id(change.object.name);
-        row->set_revision(change.object.revision);
-        row->set_removed(change.removed);
-        row->set_entry(change.object.value);
+        auto *serverChange = message.add_changes();
+        serverChange->set_id(change.object.name);
+        serverChange->set_revision(change.object.revision);
+        serverChange->set_removed(change.removed);
+        serverChange->set_entry(change.object.value);
     }
     message.set_store_lost(news.storeLost);
     message.set_renewal_left_ms(static_cast<std::uint32_t>(news.renewalLeft.count()));
--- a/src/gateway/datagram_codec.h
+++ b/src/gateway/datagram_codec.h
@@ -11,8 +11,8 @@
 
 namespace marjoramloom {
 
-// Conversions between the router's types and the messages of load.proto. All are thread safe; those that read yield
-// nothing where the message contradicts itself.
+// Conversions between the router's types and the messages of load.proto. All are thread safe. Those that return an
+// optional return nothing if the message is inconsistent.
 
 auto readIdentity(const wire::RouterIdentity &message) -> router_identity;
 auto write(const router_identity &identity, wire::RouterIdentity &message) -> void;
@@ -27,7 +27,7 @@
 auto readAnswer(const wire::PlacementAnswer &message) -> placement_answer;
 auto write(const placement_answer &answer, wire::PlacementAnswer &message) -> void;
 
-auto readNews(const wire::StoreNews &message) -> store_news;
+auto readStoreUpdate(const wire::StoreNews &message) -> store_news;
 auto write(const store_news &news, wire::StoreNews &message) -> void;
 
 } // namespace marjoramloom
--- a/src/gateway/engine_decision.cpp
+++ b/src/gateway/engine_decision.cpp
@@ -12,16 +12,16 @@
     auto chosen = chooseEngine(state, *service, query.part, query.prompt, query.failed, now, why);
     if (!chosen) {
         return why.kind == failure_kind::overloaded
-            ? std::optional(engine_decision{ .chosen = std::nullopt, .everyoneFull = true })
+            ? std::optional(engine_decision{ .chosen = std::nullopt, .allEnginesFull = true })
             : std::nullopt;
     }
-    const auto fraction = state.accounts.startedFraction(query.account, now);
-    const auto reading = chosen->firstEvent - chosen->wait;
-    if (!query.begun && chosen->wait > state.admission.longestWait(query.objective, reading, fraction)) {
+    const auto accountShare = state.accounts.fleetShare(query.account, now);
+    const auto prefillTime = chosen->firstEvent - chosen->wait;
+    if (!query.alreadySent && chosen->wait > state.admission.maxWait(query.objective, prefillTime, accountShare)) {
         why.fail(failure_kind::overloaded, "choose engine", chosen->server->id, "the first event would be late");
-        return engine_decision{ .chosen = std::nullopt, .everyoneFull = false };
+        return engine_decision{ .chosen = std::nullopt, .allEnginesFull = false };
     }
-    return engine_decision{ .chosen = std::move(chosen), .everyoneFull = false };
+    return engine_decision{ .chosen = std::move(chosen), .allEnginesFull = false };
 }
 
 } // namespace marjoramloom
--- a/src/gateway/refusal.cpp
+++ b/src/gateway/error_reply.cpp
@@ -1,4 +1,4 @@
-#include "marjoramloom/gateway/refusal.h"
+#include "marjoramloom/gateway/error_reply.h"
 
 #include "platform/header_format.h"
 
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Callers that are refused together are spread over this span.
-constexpr double soonestReturnSeconds = 0.15;
-constexpr double latestReturnSeconds = 0.6;
+/// Retry-After is drawn from this range, so that callers refused together do not retry at the same moment.
+constexpr double minRetryAfterSeconds = 0.15;
+constexpr double maxRetryAfterSeconds = 0.6;
 
-auto promisesNotRun(unsigned status) -> bool
+auto isNotExecutedStatus(unsigned status) -> bool
 {
     return status == 429 || status == 503;
 }
 
 } // namespace
 
-auto ownAnswer(gateway_state &state, const routed_request &request, unsigned status, std::string_view reason)
+auto makeErrorReply(gateway_state &state, const routed_request &request, unsigned status, std::string_view reason)
     -> http_reply
 {
     auto answer = http_reply();
@@ -31,8 +31,8 @@
     if (!request.id.empty()) {
         answer.headers.emplace_back(platform::requestIdField, request.id);
     }
-    if (promisesNotRun(status)) {
-        auto spread = boost::random::uniform_real_distribution<double>(soonestReturnSeconds, latestReturnSeconds);
+    if (isNotExecutedStatus(status)) {
+        auto spread = boost::random::uniform_real_distribution<double>(minRetryAfterSeconds, maxRetryAfterSeconds);
         auto text = std::array<char, 16>{};
         std::snprintf(text.data(), text.size(), "%.2f", spread(state.random));
         answer.headers.emplace_back(platform::retryAfterField, text.data());
--- a/src/gateway/fleet_loads.cpp
+++ b/src/gateway/fleet_loads.cpp
@@ -4,33 +4,33 @@
 
 namespace {
 
-auto change(std::uint32_t &sum, std::uint32_t amount, bool adds) -> void
+auto adjust(std::uint32_t &sum, std::uint32_t amount, bool isAdded) -> void
 {
-    sum = adds ? sum + amount : sum - amount;
+    sum = isAdded ? sum + amount : sum - amount;
 }
 
 } // namespace
 
-auto fleet_loads::take(load_snapshot snapshot, time_point now) -> bool
+auto fleet_loads::update(load_snapshot snapshot, time_point now) -> bool
 {
     const auto known = m_routers.find(snapshot.router);
     if (known != m_routers.end()) {
         if (snapshot.sequence <= known->second.snapshot.sequence) {
             return false;
         }
-        count(known->second.snapshot, false);
+        adjustSums(known->second.snapshot, false);
     }
-    count(snapshot, true);
+    adjustSums(snapshot, true);
     const auto router = snapshot.router;
-    m_routers.insert_or_assign(router, heard_router{ std::move(snapshot), now });
+    m_routers.insert_or_assign(router, router_report{ std::move(snapshot), now });
     return true;
 }
 
-auto fleet_loads::drop(std::uint64_t incarnation) -> void
+auto fleet_loads::removeRouter(std::uint64_t incarnation) -> void
 {
     const auto found = m_routers.find(incarnation);
     if (found != m_routers.end()) {
-        count(found->second.snapshot, false);
+        adjustSums(found->second.snapshot, false);
         m_routers.erase(found);
     }
 }
@@ -38,46 +38,46 @@
 auto fleet_loads::expire(time_point now) -> void
 {
     for (auto entry = m_routers.begin(); entry != m_routers.end();) {
-        if (now - entry->second.heardAt <= SILENCE_LIMIT) {
+        if (now - entry->second.receivedAt <= SILENCE_LIMIT) {
             ++entry;
             continue;
         }
-        count(entry->second.snapshot, false);
+        adjustSums(entry->second.snapshot, false);
         entry = m_routers.erase(entry);
     }
 }
 
-auto fleet_loads::onEngine(std::uint64_t server) const -> engine_share
+auto fleet_loads::loadOnEngine(std::uint64_t server) const -> engine_load
 {
     const auto found = m_engines.find(server);
-    return found == m_engines.end() ? engine_share{ server, 0, 0 } : found->second;
+    return found == m_engines.end() ? engine_load{ server, 0, 0 } : found->second;
 }
 
-auto fleet_loads::ofAccount(std::uint64_t account) const -> account_share
+auto fleet_loads::tokensOfAccount(std::uint64_t account) const -> account_tokens
 {
     const auto found = m_accounts.find(account);
-    return found == m_accounts.end() ? account_share{ account, 0 } : found->second;
+    return found == m_accounts.end() ? account_tokens{ account, 0 } : found->second;
 }
 
 auto fleet_loads::startedTokens() const -> std::uint64_t
 {
-    return m_started;
+    return m_startedTokens;
 }
 
-auto fleet_loads::count(const load_snapshot &snapshot, bool adds) -> void
+auto fleet_loads::adjustSums(const load_snapshot &snapshot, bool isAdded) -> void
 {
     for (const auto &engine : snapshot.engines) {
         auto &sum = m_engines[engine.server];
-        change(sum.running, engine.running, adds);
-        change(sum.unreadTokens, engine.unreadTokens, adds);
-        if (sum.running == 0 && sum.unreadTokens == 0) {
+        adjust(sum.running, engine.running, isAdded);
+        adjust(sum.pendingPrefillTokens, engine.pendingPrefillTokens, isAdded);
+        if (sum.running == 0 && sum.pendingPrefillTokens == 0) {
             m_engines.erase(engine.server);
         }
     }
     for (const auto &account : snapshot.accounts) {
         auto &sum = m_accounts[account.account];
-        change(sum.startedTokens, account.startedTokens, adds);
-        m_started = adds ? m_started + account.startedTokens : m_started - account.startedTokens;
+        adjust(sum.startedTokens, account.startedTokens, isAdded);
+        m_startedTokens = isAdded ? m_startedTokens + account.startedTokens : m_startedTokens - account.startedTokens;
         if (sum.startedTokens == 0) {
             m_accounts.erase(account.account);
         }
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -1,8 +1,8 @@
 #include "marjoramloom/gateway/gateway_call.h"
 
 #include "marjoramloom/core/log.h"
+#include "marjoramloom/gateway/error_reply.h"
 #include "marjoramloom/gateway/event_splitter.h"
-#include "marjoramloom/gateway/refusal.h"
 #include "platform/header_format.h"
 
 #include <cassert>
@@ -54,11 +54,11 @@
     load_guard(server_loads &loads, const chosen_server &chosen)
         : m_loads(loads)
         , m_server(chosen.server)
-        , m_unread(chosen.tokensToRead)
+        , m_unread(chosen.prefillTokens)
     {
         auto &load = m_loads.at(*m_server);
         ++load.running;
-        load.unreadTokens += m_unread;
+        load.pendingPrefillTokens += m_unread;
     }
     ~load_guard()
     {
@@ -71,7 +71,7 @@
     /// The server has read the prompt.
     auto noteRead() -> void
     {
-        m_loads.at(*m_server).unreadTokens -= m_unread;
+        m_loads.at(*m_server).pendingPrefillTokens -= m_unread;
         m_unread = 0;
     }
 
@@ -140,7 +140,7 @@
             .with("request", m_request.id)
             .with("server", chosen->server->id)
             .with("end", nameOf(end))
-            .with("to_read", chosen->tokensToRead)
+            .with("to_read", chosen->prefillTokens)
             .with("prompt", m_request.prompt.promptTokens)
             .with("wait_ms", toSeconds(chosen->wait) * 1e3)
             .with("expected_ms", toSeconds(chosen->firstEvent) * 1e3)
@@ -152,7 +152,7 @@
         if (end == send_end::answered || end == send_end::callerLeft || !maySendAgain(end)) {
             break;
         }
-        m_tried.insert(server_loads::runId(*chosen->server));
+        m_tried.insert(server_loads::incarnationId(*chosen->server));
     }
     if (end == send_end::callerLeft) {
         logEnd("caller left", 0);
@@ -172,7 +172,7 @@
     if (m_service->engine && m_route.carriesPrompt) {
         chosen = co_await chooseForPrompt(why);
     } else {
-        chosen = choosePlain(m_state, *m_service, m_tried, system_clock_source().now(), why);
+        chosen = choosePlainServer(m_state, *m_service, m_tried, system_clock_source().now(), why);
     }
     if (!chosen && m_sends == 0) {
         m_why = why;
@@ -183,17 +183,17 @@
 auto gateway_call::chooseForPrompt(last_reason &why) -> asio::awaitable<std::optional<chosen_server>>
 {
     const auto query = placement_query{ .service = m_service->name,
-                                        .part = partOf(m_state.servers.usable(m_service->name), m_request.prompt),
+                                        .part = shardOf(m_state.servers.usable(m_service->name), m_request.prompt),
                                         .prompt = m_request.prompt,
                                         .account = m_accountId,
                                         .objective = m_route.latencyObjective,
                                         .failed = m_tried,
-                                        .begun = m_sends > 0 };
+                                        .alreadySent = m_sends > 0 };
     auto decision = co_await m_dispatch.decide(query, why);
     if (decision && decision->chosen) {
         co_return std::move(decision->chosen);
     }
-    if (query.begun) {
+    if (query.alreadySent) {
         // Work that was begun goes on wherever it can.
         co_return chooseEngine(m_state, *m_service, {}, m_request.prompt, m_tried, system_clock_source().now(), why);
     }
@@ -208,8 +208,8 @@
     if (end == send_end::notSent) {
         return true;
     }
-    const auto repeatable = end == send_end::notRun || m_route.mayRepeat();
-    return repeatable && m_sends < m_route.serverLimit
+    const auto repeatable = end == send_end::notRun || m_route.mayRetry();
+    return repeatable && m_sends < m_route.maxAttempts
         && m_state.repeatsOf(m_service->name).take(system_clock_source().now());
 }
 
@@ -241,10 +241,11 @@
         if (m_route.carriesPrompt) {
             m_state.accounts.noteStarted(m_accountId, cost(), system_clock_source().now());
         }
-        m_state.repeatsOf(m_service->name).noteFirst(system_clock_source().now());
+        m_state.repeatsOf(m_service->name).noteFirstAttempt(system_clock_source().now());
     }
     if (!m_request.prompt.parts.empty()) {
-        m_state.unreportedReads.push_back(m_state.noteRead(server_loads::runId(*chosen.server), m_request.prompt));
+        m_state.unreportedReads.push_back(
+            m_state.noteRead(server_loads::incarnationId(*chosen.server), m_request.prompt));
     }
     auto end = co_await exchangeWith(sending);
     m_control->forget(listening);
@@ -266,7 +267,7 @@
     const auto executor = co_await asio::this_coro::executor;
     const auto &address = chosen.server->address;
     // Whether a kept connection still works shows only after a request was sent on it.
-    if (m_route.mayRepeat() || m_route.kind == route_kind::eventStream) {
+    if (m_route.mayRetry() || m_route.kind == route_kind::eventStream) {
         if (auto kept = m_state.connections.take(address, executor)) {
             co_return kept;
         }
@@ -286,7 +287,7 @@
         why.fail(failure_kind::cancelled, "send request", chosen.server->id, "the caller left");
     } else if (timeLeft() <= answerMargin) {
         why.fail(failure_kind::deadlineExceeded, "send request", chosen.server->id, "no time left");
-    } else if (!m_route.anonymous && !m_state.keys.holds(boot_clock::now())) {
+    } else if (!m_route.anonymous && !m_state.keys.isFresh(boot_clock::now())) {
         why.fail(failure_kind::unavailable, "send request", chosen.server->id, "keys not confirmed lately");
     } else if (!m_state.servers.isUsable(*chosen.server)) {
         why.fail(failure_kind::leaving, "send request", chosen.server->id, "the server is leaving or gone");
@@ -382,7 +383,7 @@
         m_why.fail(failure_kind::unknownOutcome, "read answer", sending.chosen.server->id,
                    "status " + std::to_string(status));
         noteServerFailed(*sending.chosen.server);
-        const auto goesOn = m_streaming || (m_route.mayRepeat() && m_sends < m_route.serverLimit);
+        const auto goesOn = m_streaming || (m_route.mayRetry() && m_sends < m_route.maxAttempts);
         // A failure that the caller would take for a promise is not passed on: the request has run.
         if (goesOn || promisesNotRun(status)) {
             co_return send_end::failed;
@@ -478,7 +479,7 @@
     log_line(log_level::info, "server_failed")
         .with("request", m_request.id)
         .with("server", server.id)
-        .with("in_row", m_state.loads.at(server).failuresInRow)
+        .with("in_row", m_state.loads.at(server).consecutiveFailures)
         .with("reason", m_why.text());
 }
 
@@ -502,7 +503,7 @@
 {
     logEnd(reason, status);
     m_state.counters.at("marjoramloom_refused_total", "status=\"" + std::to_string(status) + "\"").add();
-    auto answer = ownAnswer(m_state, m_request, status, reason);
+    auto answer = makeErrorReply(m_state, m_request, status, reason);
     co_await m_exchange.reply(std::move(answer));
 }
 
--- a/src/gateway/gateway_handler.cpp
+++ b/src/gateway/gateway_handler.cpp
@@ -1,8 +1,8 @@
 #include "marjoramloom/gateway/gateway_handler.h"
 
 #include "marjoramloom/core/log.h"
+#include "marjoramloom/gateway/error_reply.h"
 #include "marjoramloom/gateway/gateway_call.h"
-#include "marjoramloom/gateway/refusal.h"
 #include "platform/header_format.h"
 #include "router/caller_watch.h"
 
@@ -68,7 +68,7 @@
     }
     auto account = std::string();
     if (!route->anonymous) {
-        if (!m_state.keys.holds(boot_clock::now())) {
+        if (!m_state.keys.isFresh(boot_clock::now())) {
             co_await refuse(exchange, *request, unavailable, "keys not confirmed lately");
             co_return;
         }
@@ -104,7 +104,7 @@
         .with("reason", reason)
         .with("configuration", routes ? routes->version() : 0);
     m_state.counters.at("marjoramloom_refused_total", "status=\"" + std::to_string(status) + "\"").add();
-    auto answer = ownAnswer(m_state, request, status, reason);
+    auto answer = makeErrorReply(m_state, request, status, reason);
     co_await exchange.reply(std::move(answer));
 }
 
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -108,7 +108,7 @@
     , store(context.get_executor(), storeOptions(config), counters)
     , exchange(context.get_executor(), state, identityOf(config), makeIncarnation())
     , announcer(context.get_executor(), store, config.instance, identityOf(config),
-                [this](router_identity found) { exchange.meet(std::move(found)); })
+                [this](router_identity found) { exchange.addRouter(std::move(found)); })
     , callers(state, exchange.dispatch())
     , status(ready, counters)
     , callerServer(std::make_shared<http_server<gateway_handler>>(context, callers, counters, "callers", http_limits(),
@@ -122,13 +122,13 @@
                      relay.tellFollowers();
                  } })
     , relay(context.get_executor(), feed, state,
-            { .question = [this](auto router, const auto &question) { exchange.sendQuestion(router, question); },
+            { .question = [this](auto router, const auto &question) { exchange.sendStoreQuery(router, question); },
               .news =
                   [this](auto router, const auto &news) {
-                      exchange.sendNews(router, news);
+                      exchange.sendStoreUpdate(router, news);
                   } })
 {
-    exchange.setStoreListeners(
+    exchange.setStoreHandlers(
         { .onQuestion = [this](auto router, const auto &question) { relay.answer(router, question); },
           .onNews =
               [this](const auto &news) {
@@ -140,8 +140,8 @@
 
 auto gateway_process::parts::refreshReadiness() -> void
 {
-    const auto holdsKeys = state.keys.holds(boot_clock::now());
-    const auto isBehind = state.lag.shouldRest(system_clock_source().now());
+    const auto holdsKeys = state.keys.isFresh(boot_clock::now());
+    const auto isBehind = state.lag.shouldRefuseConnections(system_clock_source().now());
     const auto now = state.routes && state.hasServers && !state.stopping && holdsKeys && !isBehind;
     if (now != ready) {
         log_line(log_level::info, "readiness")
@@ -189,7 +189,7 @@
                 .with("connections", callerServer->connections())
                 .with("turned_away", turnedAway.value());
         }
-        timer.expires_at(state.lag.fire(system_clock_source().now()));
+        timer.expires_at(state.lag.onTimer(system_clock_source().now()));
         co_await timer.async_wait(asio::use_awaitable);
     }
 }
@@ -245,7 +245,7 @@
         timer.expires_after(drainPoll);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    exchange.leave();
+    exchange.announceStop();
     log_line(log_level::info, "stop_ends")
         .with("unfinished", state.running)
         .with("connections", callerServer->connections());
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -34,7 +34,7 @@
     })
     , roster(std::move(self))
     , accounts(fleet)
-    , placement(reading_pace())
+    , placement(prefill_rate())
     , random(seed)
     , firstEvents(registry, "marjoramloom_first_event_seconds", "")
     , answers(registry, "marjoramloom_answer_seconds", "")
@@ -75,7 +75,7 @@
     return std::clamp<std::size_t>(part, 1, connection_pool::IDLE_PER_PEER);
 }
 
-auto gateway_state::repeatsOf(const std::string &service) -> repeat_budget &
+auto gateway_state::repeatsOf(const std::string &service) -> gateway_retry_budget &
 {
     return repeats.try_emplace(service, settings.repeats).first->second;
 }
--- a/src/gateway/key_freshness.cpp
+++ b/src/gateway/key_freshness.cpp
@@ -17,19 +17,19 @@
     m_lifetime = lifetime;
 }
 
-auto key_freshness::noteProof(boot_time askedAt) -> void
+auto key_freshness::noteValidation(boot_time readStartedAt) -> void
 {
-    m_provedAt = std::max(m_provedAt, askedAt);
+    m_validatedAt = std::max(m_validatedAt, readStartedAt);
 }
 
-auto key_freshness::holds(boot_time now) const -> bool
+auto key_freshness::isFresh(boot_time now) const -> bool
 {
-    return m_provedAt != boot_time::min() && now - m_provedAt < m_lifetime;
+    return m_validatedAt != boot_time::min() && now - m_validatedAt < m_lifetime;
 }
 
 auto key_freshness::age(boot_time now) const -> boot_clock::duration
 {
-    return m_provedAt == boot_time::min() ? boot_clock::duration::max() : now - m_provedAt;
+    return m_validatedAt == boot_time::min() ? boot_clock::duration::max() : now - m_validatedAt;
 }
 
 } // namespace marjoramloom
--- a/src/gateway/load_exchange.cpp
+++ b/src/gateway/load_exchange.cpp
@@ -17,23 +17,23 @@
 namespace {
 
 constexpr std::uint32_t datagramVersion = 2;
-/// Up to this many routers, each tells all others its load.
-constexpr std::size_t fullViewRouters = 12;
-/// Time between two reports. Engines read about 50 tokens a millisecond, so this is a few prompts of staleness.
-constexpr auto fullViewPeriod = std::chrono::milliseconds(60);
-/// The same where only dispatchers get reports; these know what they placed themselves.
-constexpr auto dispatchPeriod = std::chrono::milliseconds(120);
-/// A report goes out at least this often, so that the others know that this router lives.
-constexpr auto quietPeriod = std::chrono::milliseconds(240);
-/// A report is answered by a heartbeat where none went to that router for this long.
+/// In fleets of up to this size, each router reports its load to all others.
+constexpr std::size_t maxFullMeshRouters = 12;
+/// Engines prefill about 50 tokens a millisecond, so a report is stale by a few prompts.
+constexpr auto fullMeshReportPeriod = std::chrono::milliseconds(60);
+/// Longer where only dispatchers get reports, as these know their own placements without them.
+constexpr auto dispatcherReportPeriod = std::chrono::milliseconds(120);
+/// Idle routers still report this often, so that the others know that they are alive.
+constexpr auto idleReportPeriod = std::chrono::milliseconds(240);
+/// Shortest time between two heartbeats to the same router.
 constexpr auto heartbeatPeriod = std::chrono::milliseconds(200);
-/// A dispatcher that fell silent is sent a report this often, to hear whether it is back.
+/// Time between two reports to a silent dispatcher, which answers once it is back.
 constexpr auto probePeriod = std::chrono::milliseconds(1'000);
-/// Silent dispatchers of a part that are looked after.
-constexpr std::size_t probedDispatchers = 3;
-/// Datagrams that are read in one go.
-constexpr std::size_t receiveBatch = 64;
-constexpr auto datagramBytes = std::size_t(64) << 10U;
+/// Silent dispatchers of a shard that are probed.
+constexpr std::size_t maxProbedDispatchers = 3;
+/// Datagrams that are read without returning to the event loop.
+constexpr std::size_t maxDatagramsPerBatch = 64;
+constexpr auto maxDatagramBytes = std::size_t(64) << 10U;
 
 } // namespace
 
@@ -44,9 +44,9 @@
     , m_self(std::move(self))
     , m_incarnation(incarnation)
     , m_socket(executor)
-    , m_unreadable(state.counters.at("marjoramloom_load_reports_unreadable_total"))
-    , m_received(state.counters.at("marjoramloom_datagrams_received_total"))
-    , m_sent(state.counters.at("marjoramloom_datagrams_sent_total"))
+    , m_unreadableDatagrams(state.counters.at("marjoramloom_load_reports_unreadable_total"))
+    , m_receivedDatagrams(state.counters.at("marjoramloom_datagrams_received_total"))
+    , m_sentDatagrams(state.counters.at("marjoramloom_datagrams_sent_total"))
     , m_dispatch(executor, state, [this](std::uint64_t router, std::uint64_t number, const placement_query &query) {
         sendQuery(router, number, query);
     })
@@ -74,9 +74,9 @@
     return !error;
 }
 
-auto load_exchange::setStoreListeners(store_listeners listening) -> void
+auto load_exchange::setStoreHandlers(store_handlers handlers) -> void
 {
-    m_listening = std::move(listening);
+    m_storeHandlers = std::move(handlers);
 }
 
 auto load_exchange::dispatch() -> placement_dispatch &
@@ -84,12 +84,12 @@
     return m_dispatch;
 }
 
-auto load_exchange::meet(router_identity identity) -> void
+auto load_exchange::addRouter(router_identity identity) -> void
 {
     auto why = last_reason();
     const auto endpoint = parseEndpoint(identity.address, why);
     if (!endpoint) {
-        m_unreadable.add();
+        m_unreadableDatagrams.add();
         return;
     }
     const auto id = router_roster::idOf(identity.address);
@@ -103,9 +103,9 @@
     }
 }
 
-auto load_exchange::hasFullView() const -> bool
+auto load_exchange::isFullMesh() const -> bool
 {
-    return m_state.roster.size() <= fullViewRouters;
+    return m_state.roster.size() <= maxFullMeshRouters;
 }
 
 auto load_exchange::sendReports() -> asio::awaitable<void>
@@ -114,16 +114,16 @@
     auto lastSent = time_point();
     auto wasBusy = false;
     while (true) {
-        timer.expires_after(hasFullView() ? fullViewPeriod : dispatchPeriod);
+        timer.expires_after(isFullMesh() ? fullMeshReportPeriod : dispatcherReportPeriod);
         co_await timer.async_wait(asio::use_awaitable);
         const auto now = system_clock_source().now();
         const auto isBusy = m_state.running > 0 || !m_state.unreportedReads.empty();
-        if (!isBusy && !wasBusy && now - lastSent < quietPeriod) {
+        if (!isBusy && !wasBusy && now - lastSent < idleReportPeriod) {
             continue;
         }
         wasBusy = isBusy;
         lastSent = now;
-        if (hasFullView()) {
+        if (isFullMesh()) {
             reportToAll(now);
         } else {
             reportToDispatchers(now);
@@ -132,22 +132,22 @@
     }
 }
 
-auto load_exchange::report_scope::holds(const std::string &server) const -> bool
+auto load_exchange::report_scope::contains(const std::string &server) const -> bool
 {
-    return parts.empty()
-        || std::any_of(parts.begin(), parts.end(), [&](const auto &part) { return part.holds(server); });
+    return shards.empty()
+        || std::any_of(shards.begin(), shards.end(), [&](const auto &shard) { return shard.contains(server); });
 }
 
 auto load_exchange::reportToAll(time_point now) -> void
 {
     auto report = makeReport({});
     for (const auto router : m_state.roster.others()) {
-        m_state.roster.noteAsked(router, now);
+        m_state.roster.noteRequestSent(router, now);
         send(router, report);
     }
 }
 
-/// Tells each dispatcher of the engines of its parts.
+/// Reports to each dispatcher the loads of the engines in its shards.
 auto load_exchange::reportToDispatchers(time_point now) -> void
 {
     if (!m_state.routes) {
@@ -158,35 +158,36 @@
         if (!service.engine) {
             continue;
         }
-        const auto count = partCount(m_state.servers.usable(service.name).size());
+        const auto count = shardCount(m_state.servers.usable(service.name).size());
         for (auto index = std::uint32_t(0); index < count; ++index) {
-            const auto part = engine_part{ .index = index, .count = count };
-            probeSilentDispatchers(service.name, part, now);
+            const auto shard = engine_shard{ .index = index, .count = count };
+            probeSilentDispatchers(service.name, shard, now);
             const auto dispatcher = m_dispatch.dispatcherOf(service.name, index, now);
             if (dispatcher != m_state.roster.self()) {
-                scopes[dispatcher].parts.push_back(part);
+                scopes[dispatcher].shards.push_back(shard);
             }
         }
     }
     for (const auto &[dispatcher, scope] : scopes) {
-        m_state.roster.noteAsked(dispatcher, now);
+        m_state.roster.noteRequestSent(dispatcher, now);
         auto report = makeReport(scope);
         send(dispatcher, report);
     }
 }
 
-auto load_exchange::probeSilentDispatchers(const std::string &service, const engine_part &part, time_point now) -> void
+auto load_exchange::probeSilentDispatchers(const std::string &service, const engine_shard &shard, time_point now)
+    -> void
 {
-    const auto &order = m_state.roster.dispatchOrder(hash64(service), part.index);
-    for (auto index = std::size_t(0); index < std::min(order.size(), probedDispatchers); ++index) {
+    const auto &order = m_state.roster.dispatchOrder(hash64(service), shard.index);
+    for (auto index = std::size_t(0); index < std::min(order.size(), maxProbedDispatchers); ++index) {
         const auto router = order[index];
-        if (m_state.roster.answers(router, now)) {
+        if (m_state.roster.isResponsive(router, now)) {
             break;
         }
-        auto &last = m_lastProbe[router];
+        auto &last = m_lastProbeSent[router];
         if (now - last >= probePeriod) {
             last = now;
-            auto report = makeReport({ .parts = { part } });
+            auto report = makeReport({ .shards = { shard } });
             send(router, report);
         }
     }
@@ -197,30 +198,30 @@
     auto datagram = wire::RouterDatagram();
     write(m_self, *datagram.mutable_identity());
     auto &report = *datagram.mutable_report();
-    report.set_sequence(++m_sequence);
+    report.set_sequence(++m_reportSequence);
     for (const auto &[run, load] : m_state.loads.all()) {
         if (load.running == 0) {
             continue;
         }
-        const auto server = scope.parts.empty() ? nullptr : m_state.servers.findUsable(run);
-        if (scope.parts.empty() || (server && scope.holds(server->id))) {
+        const auto server = scope.shards.empty() ? nullptr : m_state.servers.findUsable(run);
+        if (scope.shards.empty() || (server && scope.contains(server->id))) {
             auto *engine = report.add_engines();
             engine->set_server(run);
             engine->set_running(load.running);
-            engine->set_unread_tokens(static_cast<std::uint32_t>(load.unreadTokens));
+            engine->set_unread_tokens(static_cast<std::uint32_t>(load.pendingPrefillTokens));
         }
     }
-    for (const auto &share : m_state.accounts.ownShares(system_clock_source().now())) {
+    for (const auto &share : m_state.accounts.localAccountTokens(system_clock_source().now())) {
         auto *account = report.add_accounts();
         account->set_account(share.account);
         account->set_started_tokens(share.startedTokens);
     }
-    if (scope.parts.empty()) {
+    if (scope.shards.empty()) {
         for (const auto &read : m_state.unreportedReads) {
             write(read, *report.add_reads());
         }
     }
-    for (const auto &[dispatcher, sequence] : m_dispatch.heard()) {
+    for (const auto &[dispatcher, sequence] : m_dispatch.lastSequences()) {
         auto *heard = report.add_heard();
         heard->set_dispatcher(dispatcher);
         heard->set_sequence(sequence);
@@ -228,7 +229,7 @@
     return datagram;
 }
 
-auto load_exchange::leave() -> void
+auto load_exchange::announceStop() -> void
 {
     auto report = makeReport({});
     report.mutable_report()->set_leaving(true);
@@ -245,7 +246,7 @@
     send(router, datagram);
 }
 
-auto load_exchange::sendQuestion(std::uint64_t router, const store_question &question) -> void
+auto load_exchange::sendStoreQuery(std::uint64_t router, const store_question &question) -> void
 {
     auto datagram = wire::RouterDatagram();
     datagram.mutable_question()->set_number(question.number);
@@ -253,7 +254,7 @@
     send(router, datagram);
 }
 
-auto load_exchange::sendNews(std::uint64_t router, const store_news &news) -> void
+auto load_exchange::sendStoreUpdate(std::uint64_t router, const store_news &news) -> void
 {
     auto datagram = wire::RouterDatagram();
     write(news, *datagram.mutable_news());
@@ -269,15 +270,15 @@
     datagram.set_version(datagramVersion);
     datagram.set_sender(m_incarnation);
     datagram.set_router(m_state.roster.self());
-    m_sent.add();
+    m_sentDatagrams.add();
     auto error = boost::system::error_code();
-    // A datagram that cannot be sent now is as good as a lost one.
+    // An error counts as a lost datagram: the next report makes up for it, and queries time out.
     m_socket.send_to(asio::buffer(datagram.SerializeAsString()), endpoint->second, 0, error);
 }
 
 auto load_exchange::receive() -> asio::awaitable<void>
 {
-    auto buffer = std::vector<char>(datagramBytes);
+    auto buffer = std::vector<char>(maxDatagramBytes);
     auto from = udp::endpoint();
     while (true) {
         auto error = boost::system::error_code();
@@ -286,70 +287,71 @@
         if (error == asio::error::operation_aborted) {
             co_return;
         }
-        // Other errors are news of earlier datagrams that did not arrive.
+        // Other errors report that an earlier datagram was not delivered, for example by ICMP.
         if (error) {
             continue;
         }
-        take({ buffer.data(), bytes });
-        // What else has come is read at once: a router that is behind would find the answers to its queries too late.
-        for (auto taken = std::size_t(1); taken < receiveBatch; ++taken) {
+        handleDatagram({ buffer.data(), bytes });
+        // Drains the socket: a router that is behind would otherwise read the answers to its queries too late.
+        for (auto received = std::size_t(1); received < maxDatagramsPerBatch; ++received) {
             const auto more = m_socket.receive_from(asio::buffer(buffer), from, 0, error);
             if (error) {
                 break;
             }
-            take({ buffer.data(), more });
+            handleDatagram({ buffer.data(), more });
         }
     }
 }
 
-auto load_exchange::take(std::string_view bytes) -> void
+auto load_exchange::handleDatagram(std::string_view bytes) -> void
 {
     auto datagram = wire::RouterDatagram();
     if (!datagram.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))
         || datagram.version() != datagramVersion) {
-        m_unreadable.add();
+        m_unreadableDatagrams.add();
         return;
     }
     const auto router = datagram.router();
     if (router == m_state.roster.self()) {
         return;
     }
-    m_received.add();
+    m_receivedDatagrams.add();
     if (datagram.has_identity() && !m_state.roster.knows(router)) {
-        meet(readIdentity(datagram.identity()));
+        addRouter(readIdentity(datagram.identity()));
     }
-    m_state.roster.noteHeard(router);
+    m_state.roster.noteMessageReceived(router);
     if (datagram.has_report()) {
-        takeReport(router, datagram.sender(), datagram.report());
+        handleReport(router, datagram.sender(), datagram.report());
     }
     if (datagram.has_query()) {
-        takeQuery(router, datagram.sender(), datagram.query());
+        handleQuery(router, datagram.sender(), datagram.query());
     }
     if (datagram.has_answer()) {
-        m_dispatch.take(datagram.sender(), readAnswer(datagram.answer()));
+        m_dispatch.handleAnswer(datagram.sender(), readAnswer(datagram.answer()));
     }
-    if (datagram.has_question() && m_listening.onQuestion) {
-        m_listening.onQuestion(
+    if (datagram.has_question() && m_storeHandlers.onQuestion) {
+        m_storeHandlers.onQuestion(
             router,
             { .number = datagram.question().number(), .serversRevision = datagram.question().servers_revision() });
     }
-    if (datagram.has_news() && m_listening.onNews) {
-        m_listening.onNews(readNews(datagram.news()));
+    if (datagram.has_news() && m_storeHandlers.onNews) {
+        m_storeHandlers.onNews(readStoreUpdate(datagram.news()));
     }
 }
 
-auto load_exchange::takeReport(std::uint64_t router, std::uint64_t incarnation, const wire::LoadReport &report) -> void
+auto load_exchange::handleReport(std::uint64_t router, std::uint64_t incarnation, const wire::LoadReport &report)
+    -> void
 {
     const auto now = system_clock_source().now();
     if (report.leaving()) {
-        m_state.fleet.drop(incarnation);
-        m_state.roster.noteLeft(router, now);
+        m_state.fleet.removeRouter(incarnation);
+        m_state.roster.noteStopping(router, now);
         return;
     }
-    if (m_state.fleet.take(readReport(incarnation, report), now)) {
+    if (m_state.fleet.update(readReport(incarnation, report), now)) {
         for (const auto &heard : report.heard()) {
             if (heard.dispatcher() == m_incarnation) {
-                m_state.placements.settle(incarnation, heard.sequence());
+                m_state.placements.acknowledge(incarnation, heard.sequence());
             }
         }
     }
@@ -360,15 +362,15 @@
             load->parts.noteRead(read->parts, read->ownTokens);
         }
     }
-    if (!hasFullView()) {
-        acknowledge(router, now);
+    if (!isFullMesh()) {
+        sendHeartbeat(router, now);
     }
 }
 
-/// Shows a router that reports here that this one lives.
-auto load_exchange::acknowledge(std::uint64_t router, time_point now) -> void
+/// Confirms to a router that reports here that this one is alive.
+auto load_exchange::sendHeartbeat(std::uint64_t router, time_point now) -> void
 {
-    auto &last = m_lastHeartbeat[router];
+    auto &last = m_lastHeartbeatSent[router];
     if (now - last >= heartbeatPeriod) {
         last = now;
         auto heartbeat = wire::RouterDatagram();
@@ -376,12 +378,12 @@
     }
 }
 
-auto load_exchange::takeQuery(std::uint64_t router, std::uint64_t incarnation, const wire::PlacementQuery &message)
+auto load_exchange::handleQuery(std::uint64_t router, std::uint64_t incarnation, const wire::PlacementQuery &message)
     -> void
 {
     const auto query = readQuery(message);
     if (!query) {
-        m_unreadable.add();
+        m_unreadableDatagrams.add();
         return;
     }
     const auto answer = m_dispatch.answer(incarnation, message.number(), *query);
--- a/src/gateway/placement_dispatch.cpp
+++ b/src/gateway/placement_dispatch.cpp
@@ -14,8 +14,8 @@
     : m_executor(std::move(executor))
     , m_state(state)
     , m_send(std::move(send))
-    , m_answered(state.counters.at("marjoramloom_placements_total", "by=\"dispatcher\""))
-    , m_missed(state.counters.at("marjoramloom_placements_total", "by=\"own_view\""))
+    , m_decidedByDispatcher(state.counters.at("marjoramloom_placements_total", "by=\"dispatcher\""))
+    , m_decidedLocally(state.counters.at("marjoramloom_placements_total", "by=\"own_view\""))
 {
 }
 
@@ -27,27 +27,27 @@
         const auto answer = co_await ask(dispatcher, query);
         auto decision = answer ? toDecision(*answer, why) : std::nullopt;
         if (decision) {
-            m_answered.add();
+            m_decidedByDispatcher.add();
             co_return decision;
         }
-        m_missed.add();
+        m_decidedLocally.add();
     }
     co_return decideEngine(m_state, query, system_clock_source().now(), why);
 }
 
-auto placement_dispatch::dispatcherOf(const std::string &service, std::uint32_t part, time_point now) -> std::uint64_t
+auto placement_dispatch::dispatcherOf(const std::string &service, std::uint32_t shard, time_point now) -> std::uint64_t
 {
-    const auto &order = m_state.roster.dispatchOrder(hash64(service), part);
-    auto passedOver = std::size_t(0);
+    const auto &order = m_state.roster.dispatchOrder(hash64(service), shard);
+    auto skipped = std::size_t(0);
     for (const auto router : order) {
-        if (!m_state.roster.answers(router, now)) {
+        if (!m_state.roster.isResponsive(router, now)) {
             continue;
         }
-        const auto asked = m_asked.find(router);
-        if (asked == m_asked.end() || now >= asked->second.passedOverUntil) {
+        const auto status = m_dispatcherStatus.find(router);
+        if (status == m_dispatcherStatus.end() || now >= status->second.skippedUntil) {
             return router;
         }
-        if (++passedOver == DISPATCHERS_TRIED) {
+        if (++skipped == MAX_SKIPPED_DISPATCHERS) {
             break;
         }
     }
@@ -58,22 +58,22 @@
     -> asio::awaitable<std::optional<placement_answer>>
 {
     const auto number = ++m_nextNumber;
-    auto waiting = std::make_shared<waiting_query>(m_executor);
-    m_waiting.emplace(number, waiting);
-    waiting->timer.expires_after(ANSWER_LIMIT);
+    auto pending = std::make_shared<pending_query>(m_executor);
+    m_pendingQueries.emplace(number, pending);
+    pending->timer.expires_after(ANSWER_TIMEOUT);
     m_send(dispatcher, number, query);
     auto error = boost::system::error_code();
-    co_await waiting->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
-    m_waiting.erase(number);
-    auto &asked = m_asked[dispatcher];
-    if (waiting->answer) {
-        asked.misses = 0;
-    } else if (++asked.misses >= MISSES_ALLOWED) {
-        asked.misses = 0;
-        asked.passedOverUntil = system_clock_source().now() + PASS_TIME;
+    co_await pending->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
+    m_pendingQueries.erase(number);
+    auto &status = m_dispatcherStatus[dispatcher];
+    if (pending->answer) {
+        status.unansweredQueries = 0;
+    } else if (++status.unansweredQueries >= MAX_UNANSWERED_QUERIES) {
+        status.unansweredQueries = 0;
+        status.skippedUntil = system_clock_source().now() + SKIP_TIME;
         log_line(log_level::warning, "dispatcher_silent").with("dispatcher", dispatcher).with("service", query.service);
     }
-    co_return waiting->answer;
+    co_return pending->answer;
 }
 
 auto placement_dispatch::toDecision(const placement_answer &answer, last_reason &why) const
@@ -85,24 +85,24 @@
     }
     auto server = m_state.servers.findUsable(answer.server);
     if (!server) {
-        return std::nullopt; // This router knows more of that server, or less.
+        return std::nullopt; // The server is draining or unknown according to this router's list.
     }
     return engine_decision{ .chosen = chosen_server{ .server = std::move(server),
-                                                     .tokensToRead = answer.tokensToRead,
+                                                     .prefillTokens = answer.prefillTokens,
                                                      .wait = answer.wait,
                                                      .firstEvent = answer.firstEvent,
                                                      .running = answer.running,
                                                      .candidates = answer.candidates },
-                            .everyoneFull = false };
+                            .allEnginesFull = false };
 }
 
-auto placement_dispatch::answer(std::uint64_t asking, std::uint64_t number, const placement_query &query)
+auto placement_dispatch::answer(std::uint64_t askingRouter, std::uint64_t number, const placement_query &query)
     -> std::optional<placement_answer>
 {
     const auto now = system_clock_source().now();
     auto why = last_reason();
-    for (const auto run : query.failed) {
-        m_state.loads.noteSuspicion(run, asking, now);
+    for (const auto incarnation : query.failed) {
+        m_state.loads.noteSuspicion(incarnation, askingRouter, now);
     }
     const auto decision = decideEngine(m_state, query, now, why);
     if (!decision) {
@@ -113,34 +113,34 @@
         return answer;
     }
     const auto &chosen = *decision->chosen;
-    answer.server = server_loads::runId(*chosen.server);
-    answer.sequence = m_state.placements.add(asking, answer.server, chosen.tokensToRead, now);
-    answer.tokensToRead = chosen.tokensToRead;
+    answer.server = server_loads::incarnationId(*chosen.server);
+    answer.sequence = m_state.placements.add(askingRouter, answer.server, chosen.prefillTokens, now);
+    answer.prefillTokens = chosen.prefillTokens;
     answer.wait = chosen.wait;
     answer.firstEvent = chosen.firstEvent;
     answer.running = chosen.running;
     answer.candidates = static_cast<std::uint32_t>(chosen.candidates);
-    // The engine reads in the order of arrival: whoever follows will find the parts kept.
+    // The engine prefills in order of arrival, so later prompts will find these blocks cached.
     m_state.noteRead(answer.server, query.prompt);
     return answer;
 }
 
-auto placement_dispatch::take(std::uint64_t dispatcher, const placement_answer &answer) -> void
+auto placement_dispatch::handleAnswer(std::uint64_t dispatcher, const placement_answer &answer) -> void
 {
     if (answer.sequence != 0) {
-        auto &last = m_heard[dispatcher];
+        auto &last = m_lastSequences[dispatcher];
         last = std::max(last, answer.sequence);
     }
-    const auto found = m_waiting.find(answer.number);
-    if (found != m_waiting.end()) {
+    const auto found = m_pendingQueries.find(answer.number);
+    if (found != m_pendingQueries.end()) {
         found->second->answer = answer;
         found->second->timer.cancel();
     }
 }
 
-auto placement_dispatch::heard() const -> const std::map<std::uint64_t, std::uint64_t> &
+auto placement_dispatch::lastSequences() const -> const std::map<std::uint64_t, std::uint64_t> &
 {
-    return m_heard;
+    return m_lastSequences;
 }
 
 } // namespace marjoramloom
--- a/src/gateway/platform_feed.cpp
+++ b/src/gateway/platform_feed.cpp
@@ -132,7 +132,7 @@
         m_listening.onNews();
     }
     if (event.kind == watch_event_kind::bookmark && m_hasNewest) {
-        m_state.keys.noteProof(event.askedAt);
+        m_state.keys.noteValidation(event.askedAt);
     }
 }
 
@@ -147,7 +147,7 @@
     // Where there is none yet, the watch tells of the first.
     for (const auto &object : listed->objects) {
         if (object.name == platform::configurationName && applyConfiguration(object)) {
-            m_state.keys.noteProof(askedAt);
+            m_state.keys.noteValidation(askedAt);
         }
     }
     m_configurationSeen = std::max(m_configurationSeen, listed->revision);
@@ -262,7 +262,7 @@
 {
     auto news = store_news();
     const auto age = m_state.keys.age(boot_clock::now());
-    if (m_hasNewest && m_state.keys.holds(boot_clock::now())) {
+    if (m_hasNewest && m_state.keys.isFresh(boot_clock::now())) {
         // Rounded up, so that the proof never looks newer than it is.
         news.proofAge = std::chrono::ceil<std::chrono::milliseconds>(age);
     }
@@ -306,7 +306,7 @@
     }
     const auto isNewest = news.configurationRevision <= m_configurationRevision;
     if (isNewest && m_hasNewest && news.proofAge && askedAt) {
-        m_state.keys.noteProof(*askedAt - *news.proofAge);
+        m_state.keys.noteValidation(*askedAt - *news.proofAge);
     }
     m_wantsServers = m_wantsServers || (!knowsServers && news.serversRevision > 0);
     m_wantsConfiguration = m_wantsConfiguration || !isNewest;
--- a/src/gateway/prompt_placement.cpp
+++ b/src/gateway/prompt_placement.cpp
@@ -9,30 +9,31 @@
 
 namespace {
 
-/// Added for engines that failed lately, so that they are used only where all others are far behind.
+/// Added for engines that failed recently, so that they are used only if all others have long queues.
 constexpr auto avoidancePenalty = std::chrono::seconds(2);
-/// Advantage of the home engine over others that look alike, as other routers' requests have filled it.
+/// Advantage of the home engine over equal ones, as requests of other routers have probably filled its prefix cache.
 constexpr auto homeAdvantage = std::chrono::milliseconds(15);
 
-auto readingTime(std::uint64_t tokens, double tokensPerMs) -> duration
+auto prefillTime(std::uint64_t tokens, double tokensPerMs) -> duration
 {
-    const auto reading = std::chrono::duration<double, std::milli>(static_cast<double>(tokens) / tokensPerMs);
-    return std::chrono::duration_cast<duration>(reading);
+    const auto length = std::chrono::duration<double, std::milli>(static_cast<double>(tokens) / tokensPerMs);
+    return std::chrono::duration_cast<duration>(length);
 }
 
 } // namespace
 
-prompt_placement::prompt_placement(reading_pace pace)
-    : m_pace(pace)
+prompt_placement::prompt_placement(prefill_rate rate)
+    : m_rate(rate)
 {
-    assert(pace.tokensPerMs > 0 && pace.aheadPerMs > 0);
+    assert(rate.tokensPerMs > 0 && rate.queuedTokensPerMs > 0);
 }
 
 auto prompt_placement::choose(std::span<const engine_candidate> candidates, std::uint32_t promptTokens) const
     -> std::optional<engine_choice>
 {
-    const auto home = std::max_element(candidates.begin(), candidates.end(),
-                                       [](const auto &left, const auto &right) { return left.home < right.home; });
+    const auto home = std::max_element(candidates.begin(), candidates.end(), [](const auto &left, const auto &right) {
+        return left.homeRank < right.homeRank;
+    });
     auto best = std::optional<std::size_t>();
     auto bestCost = duration::max();
     for (auto index = std::size_t(0); index < candidates.size(); ++index) {
@@ -40,7 +41,7 @@
         if (candidate.running >= candidate.slots) {
             continue;
         }
-        auto cost = expected(candidate, promptTokens);
+        auto cost = expectedFirstEvent(candidate, promptTokens);
         cost += candidate.avoided ? duration(avoidancePenalty) : duration::zero();
         cost -= &candidate == &*home ? duration(homeAdvantage) : duration::zero();
         if (cost < bestCost) {
@@ -52,27 +53,28 @@
         return std::nullopt;
     }
     const auto &chosen = candidates[*best];
-    const auto kept = std::min(chosen.keptTokens, promptTokens);
+    const auto cached = std::min(chosen.cachedTokens, promptTokens);
     return engine_choice{ .index = *best,
-                          .tokensToRead = promptTokens - kept,
-                          .wait = waitAt(chosen),
-                          .firstEvent = expected(chosen, promptTokens) };
+                          .prefillTokens = promptTokens - cached,
+                          .wait = queueWait(chosen),
+                          .firstEvent = expectedFirstEvent(chosen, promptTokens) };
 }
 
-auto prompt_placement::homeScore(std::string_view server, std::uint64_t sharedPart) -> std::uint64_t
+auto prompt_placement::homeScore(std::string_view server, std::uint64_t sharedPrefixId) -> std::uint64_t
 {
-    return hash64(server, sharedPart);
+    return hash64(server, sharedPrefixId);
 }
 
-auto prompt_placement::waitAt(const engine_candidate &candidate) const -> duration
+auto prompt_placement::queueWait(const engine_candidate &candidate) const -> duration
 {
-    return readingTime(candidate.unreadTokens, m_pace.aheadPerMs);
+    return prefillTime(candidate.pendingPrefillTokens, m_rate.queuedTokensPerMs);
 }
 
-auto prompt_placement::expected(const engine_candidate &candidate, std::uint32_t promptTokens) const -> duration
+auto prompt_placement::expectedFirstEvent(const engine_candidate &candidate, std::uint32_t promptTokens) const
+    -> duration
 {
-    const auto toRead = promptTokens - std::min(candidate.keptTokens, promptTokens);
-    return m_pace.overhead + waitAt(candidate) + readingTime(toRead, m_pace.tokensPerMs);
+    const auto uncachedTokens = promptTokens - std::min(candidate.cachedTokens, promptTokens);
+    return m_rate.overhead + queueWait(candidate) + prefillTime(uncachedTokens, m_rate.tokensPerMs);
 }
 
 } // namespace marjoramloom
--- a/src/gateway/route_table.cpp
+++ b/src/gateway/route_table.cpp
@@ -10,7 +10,8 @@
 auto normalizedHost(std::string_view host) -> std::string
 {
     auto name = std::string(host.substr(0, host.rfind(':')));
-    std::transform(name.begin(), name.end(), name.begin(), [](unsigned char letter) { return std::tolower(letter); });
+    std::transform(name.begin(), name.end(), name.begin(),
+                   [](unsigned char character) { return std::tolower(character); });
     return name;
 }
 
@@ -21,10 +22,10 @@
 {
     for (auto index = std::size_t(0); index < m_content.routes.size(); ++index) {
         const auto &route = m_content.routes[index];
-        m_byHost[normalizedHost(route.host)].emplace(route.pathPrefix, index);
+        m_routesByHost[normalizedHost(route.host)].emplace(route.pathPrefix, index);
     }
     for (auto index = std::size_t(0); index < m_content.services.size(); ++index) {
-        m_services.emplace(m_content.services[index].name, index);
+        m_serviceIndexes.emplace(m_content.services[index].name, index);
     }
 }
 
@@ -35,11 +36,11 @@
 
 auto route_table::findRoute(std::string_view host, std::string_view path) const -> const route_rule *
 {
-    const auto routes = m_byHost.find(normalizedHost(host));
-    if (routes == m_byHost.end()) {
+    const auto routes = m_routesByHost.find(normalizedHost(host));
+    if (routes == m_routesByHost.end()) {
         return nullptr;
     }
-    // Every prefix ends with a slash, so only the path's own slashes can end one.
+    // Every route prefix ends with a slash, so only the path up to one of its slashes can match.
     for (auto slash = path.rfind('/'); slash != std::string_view::npos;) {
         const auto found = routes->second.find(std::string(path.substr(0, slash + 1)));
         if (found != routes->second.end()) {
@@ -58,8 +59,8 @@
 
 auto route_table::findService(const std::string &name) const -> const routed_service *
 {
-    const auto found = m_services.find(name);
-    return found == m_services.end() ? nullptr : &m_content.services[found->second];
+    const auto found = m_serviceIndexes.find(name);
+    return found == m_serviceIndexes.end() ? nullptr : &m_content.services[found->second];
 }
 
 auto route_table::services() const -> const std::vector<routed_service> &
--- a/src/gateway/router_roster.cpp
+++ b/src/gateway/router_roster.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Seed of the order of watchers.
+/// Hash seed of the order of watchers.
 constexpr std::uint64_t watchSeed = 1;
 
 } // namespace
@@ -66,7 +66,7 @@
     return added;
 }
 
-auto router_roster::noteAsked(std::uint64_t id, time_point now) -> void
+auto router_roster::noteRequestSent(std::uint64_t id, time_point now) -> void
 {
     const auto found = m_routers.find(id);
     if (found != m_routers.end() && !found->second.unansweredSince) {
@@ -74,56 +74,56 @@
     }
 }
 
-auto router_roster::noteHeard(std::uint64_t id) -> void
+auto router_roster::noteMessageReceived(std::uint64_t id) -> void
 {
     const auto found = m_routers.find(id);
     if (found != m_routers.end()) {
         found->second.unansweredSince.reset();
-        found->second.left = false;
+        found->second.stopped = false;
     }
 }
 
-auto router_roster::noteLeft(std::uint64_t id, time_point now) -> void
+auto router_roster::noteStopping(std::uint64_t id, time_point now) -> void
 {
-    noteAsked(id, now);
+    noteRequestSent(id, now);
     const auto found = m_routers.find(id);
     if (found != m_routers.end()) {
-        found->second.left = true;
+        found->second.stopped = true;
     }
 }
 
-auto router_roster::answers(std::uint64_t id, time_point now) const -> bool
+auto router_roster::isResponsive(std::uint64_t id, time_point now) const -> bool
 {
     if (id == m_self) {
         return true;
     }
     const auto found = m_routers.find(id);
-    if (found == m_routers.end() || found->second.left) {
+    if (found == m_routers.end() || found->second.stopped) {
         return false;
     }
     return !found->second.unansweredSince || now - *found->second.unansweredSince <= SILENCE_LIMIT;
 }
 
-auto router_roster::dispatchOrder(std::uint64_t service, std::uint32_t part) -> const std::vector<std::uint64_t> &
+auto router_roster::dispatchOrder(std::uint64_t serviceHash, std::uint32_t shard) -> const std::vector<std::uint64_t> &
 {
-    auto &order = m_dispatchOrders[service + part];
+    auto &order = m_dispatchOrders[serviceHash + shard];
     if (!order.empty()) {
         return order;
     }
-    auto most = 0.0;
+    auto maxCores = 0.0;
     for (const auto &[id, router] : m_routers) {
-        most = std::max(most, router.identity.cores);
+        maxCores = std::max(maxCores, router.identity.cores);
     }
     auto ranked = std::vector<std::tuple<bool, std::uint64_t, std::uint64_t>>();
-    auto large = std::size_t(0);
+    auto largeCount = std::size_t(0);
     for (const auto &[id, router] : m_routers) {
-        const auto isSmall = router.identity.cores < LARGE_PART * most;
-        ranked.emplace_back(isSmall, hash64(router.identity.address, service), id);
-        large += isSmall ? 0 : 1;
+        const auto isSmall = router.identity.cores < LARGE_ROUTER_FRACTION * maxCores;
+        ranked.emplace_back(isSmall, hash64(router.identity.address, serviceHash), id);
+        largeCount += isSmall ? 0 : 1;
     }
     std::sort(ranked.begin(), ranked.end());
-    std::rotate(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(part % large),
-                ranked.begin() + static_cast<std::ptrdiff_t>(large));
+    std::rotate(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(shard % largeCount),
+                ranked.begin() + static_cast<std::ptrdiff_t>(largeCount));
     for (const auto &[isSmall, score, id] : ranked) {
         order.push_back(id);
     }
@@ -133,10 +133,10 @@
 auto router_roster::watchOrder() -> const std::vector<std::uint64_t> &
 {
     if (m_watchOrder.empty()) {
-        const auto &here = m_routers.at(m_self).identity.dataCentre;
+        const auto &localDataCentre = m_routers.at(m_self).identity.dataCentre;
         auto ranked = std::vector<std::pair<std::uint64_t, std::uint64_t>>();
         for (const auto &[id, router] : m_routers) {
-            if (router.identity.dataCentre == here) {
+            if (router.identity.dataCentre == localDataCentre) {
                 ranked.emplace_back(hash64(router.identity.address, watchSeed), id);
             }
         }
--- a/src/gateway/server_choice.cpp
+++ b/src/gateway/server_choice.cpp
@@ -9,19 +9,19 @@
 
 using server_list = std::vector<server_directory::server_ptr>;
 
-/// Engines let a few requests wait beyond their slots; plain servers, too.
-constexpr std::uint32_t plainQueue = 2;
-/// The part of an engine's memory that running requests leave to kept parts.
-constexpr double keptShare = 0.85;
+/// Requests that a plain server is sent beyond its slots; it queues them.
+constexpr std::uint32_t maxQueuedRequests = 2;
+/// Fraction of an engine's KV memory that running requests leave to the prefix cache.
+constexpr double prefixCacheFraction = 0.85;
 
-/// The servers in \p part of \p service that take new requests and are not among \p tried.
-auto openServers(const gateway_state &state, const routed_service &service, const engine_part &part,
-                 const tried_servers &tried, last_reason &why) -> std::optional<server_list>
+/// The servers in \p shard of \p service that accept new requests and are not among \p tried.
+auto eligibleServers(const gateway_state &state, const routed_service &service, const engine_shard &shard,
+                     const tried_servers &tried, last_reason &why) -> std::optional<server_list>
 {
     auto servers = server_list();
     for (const auto &server : state.servers.usable(service.name)) {
-        const auto wasTried = !tried.empty() && tried.contains(server_loads::runId(*server));
-        if (part.holds(server->id) && !wasTried) {
+        const auto wasTried = !tried.empty() && tried.contains(server_loads::incarnationId(*server));
+        if (shard.contains(server->id) && !wasTried) {
             servers.push_back(server);
         }
     }
@@ -50,32 +50,34 @@
     return route.targets.back().service;
 }
 
-auto chooseEngine(gateway_state &state, const routed_service &service, const engine_part &part,
+auto chooseEngine(gateway_state &state, const routed_service &service, const engine_shard &shard,
                   const prompt_outline &prompt, const tried_servers &tried, time_point now, last_reason &why)
     -> std::optional<chosen_server>
 {
     assert(service.engine);
-    const auto servers = openServers(state, service, part, tried, why);
+    const auto servers = eligibleServers(state, service, shard, tried, why);
     if (!servers) {
         return std::nullopt;
     }
-    const auto shared = sharedPart(prompt);
-    const auto keptCapacity = static_cast<std::uint64_t>(static_cast<double>(service.engine->memoryTokens) * keptShare);
+    const auto prefixId = sharedPrefixId(prompt);
+    const auto prefixCacheTokens =
+        static_cast<std::uint64_t>(static_cast<double>(service.engine->kvCapacityTokens) * prefixCacheFraction);
     state.fleet.expire(now);
     state.placements.expire(now);
     auto candidates = std::vector<engine_candidate>();
     candidates.reserve(servers->size());
     for (const auto &server : *servers) {
         auto &load = state.loads.at(*server);
-        load.parts.setCapacity(keptCapacity);
-        const auto run = server_loads::runId(*server);
-        const auto others = state.fleet.onEngine(run);
-        const auto placed = state.placements.onEngine(run);
-        candidates.push_back({ .home = prompt_placement::homeScore(server->id, shared),
-                               .running = load.running + others.running + placed.running,
+        load.parts.setCapacity(prefixCacheTokens);
+        const auto incarnation = server_loads::incarnationId(*server);
+        const auto others = state.fleet.loadOnEngine(incarnation);
+        const auto pending = state.placements.loadOnEngine(incarnation);
+        candidates.push_back({ .homeRank = prompt_placement::homeScore(server->id, prefixId),
+                               .running = load.running + others.running + pending.running,
                                .slots = server->slots,
-                               .unreadTokens = load.unreadTokens + others.unreadTokens + placed.unreadTokens,
-                               .keptTokens = load.parts.keptTokens(prompt),
+                               .pendingPrefillTokens = load.pendingPrefillTokens + others.pendingPrefillTokens
+                                   + pending.pendingPrefillTokens,
+                               .cachedTokens = load.parts.cachedTokens(prompt),
                                .avoided = load.isAvoided(now) });
     }
     const auto choice = state.placement.choose(candidates, prompt.promptTokens);
@@ -83,18 +85,19 @@
         return why.fail(failure_kind::overloaded, "choose engine", "", "every engine is full");
     }
     return chosen_server{ .server = (*servers)[choice->index],
-                          .tokensToRead = choice->tokensToRead,
+                          .prefillTokens = choice->prefillTokens,
                           .wait = choice->wait,
                           .firstEvent = choice->firstEvent,
                           .running = candidates[choice->index].running,
                           .candidates = servers->size() };
 }
 
-/// Takes the server with the fewest own requests; among equals one of the own data centre, then any.
-auto choosePlain(gateway_state &state, const routed_service &service, const tried_servers &tried, time_point now,
-                 last_reason &why) -> std::optional<chosen_server>
+/// Chooses the server with the fewest requests of this router; among equals one in the same data centre, then a random
+/// one. Servers that failed recently come last.
+auto choosePlainServer(gateway_state &state, const routed_service &service, const tried_servers &tried, time_point now,
+                       last_reason &why) -> std::optional<chosen_server>
 {
-    const auto servers = openServers(state, service, {}, tried, why);
+    const auto servers = eligibleServers(state, service, {}, tried, why);
     if (!servers) {
         return std::nullopt;
     }
@@ -103,21 +106,21 @@
     auto bestRank = rank();
     for (const auto &server : *servers) {
         const auto &load = state.loads.at(*server);
-        if (load.running >= server->slots + plainQueue) {
+        if (load.running >= server->slots + maxQueuedRequests) {
             continue;
         }
-        const auto own =
+        const auto serverRank =
             rank(load.isAvoided(now), load.running, server->dataCentre != state.dataCentre, state.random());
-        if (!best || own < bestRank) {
+        if (!best || serverRank < bestRank) {
             best = server;
-            bestRank = own;
+            bestRank = serverRank;
         }
     }
     if (!best) {
         return why.fail(failure_kind::overloaded, "choose server", "", "every server is full");
     }
     return chosen_server{ .server = best,
-                          .tokensToRead = 0,
+                          .prefillTokens = 0,
                           .wait = {},
                           .firstEvent = {},
                           .running = std::get<1>(bestRank),
--- a/src/gateway/server_directory.cpp
+++ b/src/gateway/server_directory.cpp
@@ -22,7 +22,7 @@
         put(std::move(server), now);
     }
     auto absent = std::vector<std::string>();
-    for (const auto &[id, held] : m_entries) {
+    for (const auto &[id, current] : m_entries) {
         if (!present.contains(id)) {
             absent.push_back(id);
         }
@@ -34,19 +34,19 @@
 
 auto server_directory::put(listed_server server, time_point /*now*/) -> void
 {
-    auto &held = m_entries[server.id];
-    const auto known = held.server != nullptr;
-    const auto sameRun = known && held.server->sameRun(server);
-    const auto unchanged = sameRun && held.server->leaving == server.leaving && held.server->slots == server.slots
-        && held.server->service == server.service && !held.lapsedUntil;
-    // A leaving server does not come back in the same run: an older entry may arrive late.
-    server.leaving = server.leaving || (sameRun && held.server->leaving);
-    held.misdirected = sameRun && held.misdirected;
-    held.lapsedUntil.reset();
-    held.server = std::make_shared<const listed_server>(std::move(server));
-    rebuild();
+    auto &current = m_entries[server.id];
+    const auto known = current.server != nullptr;
+    const auto sameRun = known && current.server->sameRun(server);
+    const auto unchanged = sameRun && current.server->leaving == server.leaving && current.server->slots == server.slots
+        && current.server->service == server.service && !current.expiredKeptUntil;
+    // An incarnation that drains never accepts requests again; an older entry of it may arrive late.
+    server.leaving = server.leaving || (sameRun && current.server->leaving);
+    current.misdirected = sameRun && current.misdirected;
+    current.expiredKeptUntil.reset();
+    current.server = std::make_shared<const listed_server>(std::move(server));
+    rebuildIndexes();
     if (!unchanged) {
-        m_onChange(*held.server, !known ? "added" : (held.server->leaving ? "leaving" : "changed"));
+        m_onChange(*current.server, !known ? "added" : (current.server->leaving ? "leaving" : "changed"));
     }
 }
 
@@ -56,12 +56,12 @@
     if (found == m_entries.end()) {
         return;
     }
-    if (!mayHaveLapsed(now) || found->second.server->leaving) {
-        drop(id, "removed");
+    if (!mayBeRenewed(now) || found->second.server->leaving) {
+        removeEntry(id, "removed");
         return;
     }
-    if (!found->second.lapsedUntil) {
-        found->second.lapsedUntil = m_storeLost ? time_point::max() : *m_renewalEnds;
+    if (!found->second.expiredKeptUntil) {
+        found->second.expiredKeptUntil = m_storeLost ? time_point::max() : *m_renewalDeadline;
         m_onChange(*found->second.server, "lapsed");
     }
 }
@@ -69,7 +69,7 @@
 auto server_directory::onStoreLost() -> void
 {
     m_storeLost = true;
-    m_renewalEnds.reset();
+    m_renewalDeadline.reset();
 }
 
 auto server_directory::onStoreRegained(time_point now) -> void
@@ -78,37 +78,37 @@
         return;
     }
     m_storeLost = false;
-    m_renewalEnds = now + RENEWAL_TIME;
-    for (auto &[id, held] : m_entries) {
-        if (held.lapsedUntil) {
-            held.lapsedUntil = m_renewalEnds;
+    m_renewalDeadline = now + RENEWAL_TIME;
+    for (auto &[id, current] : m_entries) {
+        if (current.expiredKeptUntil) {
+            current.expiredKeptUntil = m_renewalDeadline;
         }
     }
 }
 
 auto server_directory::expectRenewals(time_point until) -> void
 {
-    if (!m_renewalEnds || *m_renewalEnds < until) {
-        m_renewalEnds = until;
+    if (!m_renewalDeadline || *m_renewalDeadline < until) {
+        m_renewalDeadline = until;
     }
 }
 
 auto server_directory::renewalLeft(time_point now) const -> std::chrono::milliseconds
 {
-    const auto left = m_renewalEnds ? *m_renewalEnds - now : duration::zero();
+    const auto left = m_renewalDeadline ? *m_renewalDeadline - now : duration::zero();
     return std::chrono::ceil<std::chrono::milliseconds>(std::max<duration>(left, duration::zero()));
 }
 
 auto server_directory::tick(time_point now) -> void
 {
-    auto ended = std::vector<std::string>();
-    for (const auto &[id, held] : m_entries) {
-        if (held.lapsedUntil && *held.lapsedUntil <= now) {
-            ended.push_back(id);
+    auto expired = std::vector<std::string>();
+    for (const auto &[id, current] : m_entries) {
+        if (current.expiredKeptUntil && *current.expiredKeptUntil <= now) {
+            expired.push_back(id);
         }
     }
-    for (const auto &id : ended) {
-        drop(id, "not renewed");
+    for (const auto &id : expired) {
+        removeEntry(id, "not renewed");
     }
 }
 
@@ -117,16 +117,16 @@
     const auto found = m_entries.find(server.id);
     if (found != m_entries.end() && found->second.server->sameRun(server)) {
         found->second.misdirected = true;
-        rebuild();
+        rebuildIndexes();
         m_onChange(server, "misdirected");
     }
 }
 
 auto server_directory::usable(const std::string &service) const -> const std::vector<server_ptr> &
 {
-    static const auto none = std::vector<server_ptr>();
-    const auto found = m_usable.find(service);
-    return found == m_usable.end() ? none : found->second;
+    static const auto noServers = std::vector<server_ptr>();
+    const auto found = m_usableByService.find(service);
+    return found == m_usableByService.end() ? noServers : found->second;
 }
 
 auto server_directory::isUsable(const listed_server &server) const -> bool
@@ -136,10 +136,10 @@
         && !found->second.misdirected && found->second.server->service == server.service;
 }
 
-auto server_directory::findUsable(std::uint64_t run) const -> server_ptr
+auto server_directory::findUsable(std::uint64_t incarnation) const -> server_ptr
 {
-    const auto found = m_usableByRun.find(run);
-    return found == m_usableByRun.end() ? nullptr : found->second;
+    const auto found = m_usableByIncarnation.find(incarnation);
+    return found == m_usableByIncarnation.end() ? nullptr : found->second;
 }
 
 auto server_directory::isListed(const listed_server &server) const -> bool
@@ -153,28 +153,28 @@
     return m_entries.size();
 }
 
-auto server_directory::mayHaveLapsed(time_point now) const -> bool
+auto server_directory::mayBeRenewed(time_point now) const -> bool
 {
-    return m_storeLost || (m_renewalEnds && now < *m_renewalEnds);
+    return m_storeLost || (m_renewalDeadline && now < *m_renewalDeadline);
 }
 
-auto server_directory::drop(const std::string &id, std::string_view why) -> void
+auto server_directory::removeEntry(const std::string &id, std::string_view change) -> void
 {
     const auto found = m_entries.find(id);
     const auto server = found->second.server;
     m_entries.erase(found);
-    rebuild();
-    m_onChange(*server, why);
+    rebuildIndexes();
+    m_onChange(*server, change);
 }
 
-auto server_directory::rebuild() -> void
+auto server_directory::rebuildIndexes() -> void
 {
-    m_usable.clear();
-    m_usableByRun.clear();
-    for (const auto &[id, held] : m_entries) {
-        if (!held.server->leaving && !held.misdirected) {
-            m_usable[held.server->service].push_back(held.server);
-            m_usableByRun.emplace(server_loads::runId(*held.server), held.server);
+    m_usableByService.clear();
+    m_usableByIncarnation.clear();
+    for (const auto &[id, current] : m_entries) {
+        if (!current.server->leaving && !current.misdirected) {
+            m_usableByService[current.server->service].push_back(current.server);
+            m_usableByIncarnation.emplace(server_loads::incarnationId(*current.server), current.server);
         }
     }
 }
--- a/src/gateway/server_loads.cpp
+++ b/src/gateway/server_loads.cpp
@@ -6,14 +6,14 @@
 
 namespace marjoramloom {
 
-auto server_loads::runId(const listed_server &server) -> std::uint64_t
+auto server_loads::incarnationId(const listed_server &server) -> std::uint64_t
 {
     return hash64(server.id, static_cast<std::uint64_t>(server.startedMs));
 }
 
 auto server_loads::at(const listed_server &server) -> server_load &
 {
-    return m_loads[runId(server)];
+    return m_loads[incarnationId(server)];
 }
 
 auto server_loads::find(std::uint64_t id) -> server_load *
@@ -29,7 +29,7 @@
 
 auto server_loads::forget(const listed_server &server) -> void
 {
-    const auto found = m_loads.find(runId(server));
+    const auto found = m_loads.find(incarnationId(server));
     if (found != m_loads.end() && found->second.running == 0) {
         m_loads.erase(found);
     }
@@ -42,21 +42,21 @@
 
 auto server_loads::avoid(server_load &load, time_point now) -> void
 {
-    if (now - load.avoidedUntil > AVOID_LIMIT) {
-        load.failuresInRow = 0; // Nothing was heard of it for long.
+    if (now - load.avoidedUntil > MAX_AVOID_TIME) {
+        load.consecutiveFailures = 0; // The last failure was long ago.
     }
-    const auto doublings = std::min<std::uint32_t>(load.failuresInRow, 4);
-    load.avoidedUntil = now + std::min<duration>(AVOID_BASE * (1U << doublings), AVOID_LIMIT);
-    ++load.failuresInRow;
+    const auto doublings = std::min<std::uint32_t>(load.consecutiveFailures, 4);
+    load.avoidedUntil = now + std::min<duration>(INITIAL_AVOID_TIME * (1U << doublings), MAX_AVOID_TIME);
+    ++load.consecutiveFailures;
 }
 
 auto server_loads::noteSuspicion(std::uint64_t id, std::uint64_t router, time_point now) -> void
 {
     auto *load = find(id);
     if (load == nullptr) {
-        return; // A server that this router does not use.
+        return; // This router has not used the server.
     }
-    const auto isConfirmed = load->suspectedBy != router && now - load->suspectedAt <= SUSPICION_TIME;
+    const auto isConfirmed = load->suspectedBy != router && now - load->suspectedAt <= SUSPICION_WINDOW;
     load->suspectedBy = router;
     load->suspectedAt = now;
     if (isConfirmed && !load->isAvoided(now)) {
@@ -67,7 +67,7 @@
 auto server_loads::noteSuccess(const listed_server &server) -> void
 {
     auto &load = at(server);
-    load.failuresInRow = 0;
+    load.consecutiveFailures = 0;
     load.avoidedUntil = {};
 }
 
--- a/src/gateway/store_relay.cpp
+++ b/src/gateway/store_relay.cpp
@@ -45,7 +45,7 @@
     auto target = std::uint64_t(0);
     auto skip = m_open.empty() ? std::size_t(0) : m_open.size() % watch_duty::WATCHERS;
     for (const auto id : m_state.roster.watchOrder()) {
-        if (id == m_state.roster.self() || !m_state.roster.answers(id, now)) {
+        if (id == m_state.roster.self() || !m_state.roster.isResponsive(id, now)) {
             continue;
         }
         target = id;
@@ -61,7 +61,7 @@
     if (m_open.size() > OPEN_QUESTIONS) {
         m_open.erase(m_open.begin());
     }
-    m_state.roster.noteAsked(target, now);
+    m_state.roster.noteRequestSent(target, now);
     m_questions.add();
     m_sending.question(target, question);
 }
--- a/src/gateway/watch_duty.cpp
+++ b/src/gateway/watch_duty.cpp
@@ -25,7 +25,7 @@
         if (id == roster.self()) {
             break;
         }
-        ahead += roster.answers(id, now) ? 1 : 0;
+        ahead += roster.isResponsive(id, now) ? 1 : 0;
     }
     return m_joined && ahead < WATCHERS;
 }
--- a/tests/unit/gateway/freshness_and_budget_test.cpp
+++ b/tests/unit/gateway/freshness_and_budget_test.cpp
@@ -1,6 +1,6 @@
+#include "marjoramloom/gateway/gateway_retry_budget.h"
 #include "marjoramloom/gateway/gateway_state.h"
 #include "marjoramloom/gateway/key_freshness.h"
-#include "marjoramloom/gateway/repeat_budget.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -9,30 +9,30 @@
 
 BOOST_AUTO_TEST_SUITE(freshness_and_budget_test)
 
-BOOST_AUTO_TEST_CASE(keys_hold_for_their_lifetime_after_the_beginning_of_a_proof)
+BOOST_AUTO_TEST_CASE(keys_expire_a_lifetime_after_the_start_of_the_validating_read)
 {
     auto keys = key_freshness(4'500ms);
     const auto start = boot_time(1'000s);
-    BOOST_TEST(!keys.holds(start));
-    keys.noteProof(start);
-    BOOST_TEST(keys.holds(start + 4'499ms));
-    BOOST_TEST(!keys.holds(start + 4'500ms));
-    // An answer that comes late proves only what its question asked for.
-    keys.noteProof(start - 1s);
-    BOOST_TEST(!keys.holds(start + 4'500ms));
-    keys.noteProof(start + 2s);
-    BOOST_TEST(keys.holds(start + 6s));
+    BOOST_TEST(!keys.isFresh(start));
+    keys.noteValidation(start);
+    BOOST_TEST(keys.isFresh(start + 4'499ms));
+    BOOST_TEST(!keys.isFresh(start + 4'500ms));
+    // A read that began earlier but was answered later must not extend the lifetime.
+    keys.noteValidation(start - 1s);
+    BOOST_TEST(!keys.isFresh(start + 4'500ms));
+    keys.noteValidation(start + 2s);
+    BOOST_TEST(keys.isFresh(start + 6s));
 }
 
-BOOST_AUTO_TEST_CASE(repeats_stay_within_their_part_of_every_window)
+BOOST_AUTO_TEST_CASE(retries_stay_within_their_ratio_in_every_window)
 {
-    auto budget = repeat_budget({ .ratio = 0.2, .window = 10s, .reserve = 2 });
+    auto budget = gateway_retry_budget({ .ratio = 0.2, .window = 10s, .reserve = 2 });
     auto now = time_point(100s);
     BOOST_TEST(budget.take(now));
     BOOST_TEST(budget.take(now));
     BOOST_TEST(!budget.take(now));
     for (auto request = 0; request < 10; ++request) {
-        budget.noteFirst(now);
+        budget.noteFirstAttempt(now);
     }
     BOOST_TEST(budget.take(now));
     BOOST_TEST(budget.take(now));
@@ -41,7 +41,7 @@
     BOOST_TEST(budget.take(now + 10'001ms));
 }
 
-BOOST_AUTO_TEST_CASE(routers_share_what_a_server_accepts)
+BOOST_AUTO_TEST_CASE(idle_connections_of_all_routers_take_at_most_half_of_a_servers_limit)
 {
     auto counters = counter_registry();
     auto state = gateway_state(gateway_settings(), { "10.0.0.1:7400", "north", 1 }, counters, 1);
--- a/tests/unit/gateway/loop_lag_test.cpp
+++ b/tests/unit/gateway/loop_lag_test.cpp
@@ -1,4 +1,4 @@
-#include "marjoramloom/gateway/loop_lag.h"
+#include "marjoramloom/gateway/event_loop_delay.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -7,59 +7,60 @@
 
 BOOST_AUTO_TEST_SUITE(loop_lag_test)
 
-BOOST_AUTO_TEST_CASE(a_single_pause_is_no_overload_and_lasting_lateness_is)
+BOOST_AUTO_TEST_CASE(a_single_pause_is_no_overload_but_two_delays_in_a_row_are)
 {
-    auto lag = loop_lag();
-    BOOST_TEST(!lag.isOverloaded(time_point(100s))); // Nothing measured yet.
-    auto due = lag.fire(time_point(100s));
-    BOOST_TEST(!lag.isOverloaded(due + 2s)); // Woken after a suspension.
-    due = lag.fire(due + 2s);
-    BOOST_TEST(!lag.isOverloaded(due));
-    BOOST_TEST(lag.isOverloaded(due + 121ms)); // Late again, before the timer could fire.
-    due = lag.fire(due + 150ms);
-    BOOST_TEST(lag.isOverloaded(due));
-    due = lag.fire(due + 1ms);
-    BOOST_TEST(!lag.isOverloaded(due));
+    auto loopDelay = event_loop_delay();
+    BOOST_TEST(!loopDelay.isOverloaded(time_point(100s))); // No measurement yet.
+    auto nextFiring = loopDelay.onTimer(time_point(100s));
+    BOOST_TEST(!loopDelay.isOverloaded(nextFiring + 2s)); // The machine was suspended.
+    nextFiring = loopDelay.onTimer(nextFiring + 2s);
+    BOOST_TEST(!loopDelay.isOverloaded(nextFiring));
+    BOOST_TEST(loopDelay.isOverloaded(nextFiring + 121ms)); // Late again, seen before the timer fires.
+    nextFiring = loopDelay.onTimer(nextFiring + 150ms);
+    BOOST_TEST(loopDelay.isOverloaded(nextFiring));
+    nextFiring = loopDelay.onTimer(nextFiring + 1ms);
+    BOOST_TEST(!loopDelay.isOverloaded(nextFiring));
 }
 
-BOOST_AUTO_TEST_CASE(a_router_rests_when_it_stays_overloaded_and_until_it_has_recovered)
+BOOST_AUTO_TEST_CASE(a_router_that_stays_overloaded_refuses_connections_for_the_recovery_time)
 {
-    auto lag = loop_lag();
-    auto due = lag.fire(time_point(100s));
-    due = lag.fire(due + 200ms);
-    BOOST_TEST(!lag.shouldRest(due)); // Once is no reason.
-    due = lag.fire(due + 150ms);
-    due = lag.fire(due + 150ms);
-    BOOST_TEST(lag.shouldRest(due));
-    const auto recovering = due + loop_lag::RECOVERY_TIME;
-    while (due < recovering - loop_lag::PERIOD) {
-        due = lag.fire(due);
-        BOOST_TEST(lag.shouldRest(due));
+    auto loopDelay = event_loop_delay();
+    auto nextFiring = loopDelay.onTimer(time_point(100s));
+    nextFiring = loopDelay.onTimer(nextFiring + 200ms);
+    BOOST_TEST(!loopDelay.shouldRefuseConnections(nextFiring)); // A single delay does not suffice.
+    nextFiring = loopDelay.onTimer(nextFiring + 150ms);
+    nextFiring = loopDelay.onTimer(nextFiring + 150ms);
+    BOOST_TEST(loopDelay.shouldRefuseConnections(nextFiring));
+    const auto recovering = nextFiring + event_loop_delay::RECOVERY_TIME;
+    while (nextFiring < recovering - event_loop_delay::PERIOD) {
+        nextFiring = loopDelay.onTimer(nextFiring);
+        BOOST_TEST(loopDelay.shouldRefuseConnections(nextFiring));
     }
     for (auto firing = 0; firing < 3; ++firing) {
-        due = lag.fire(due);
+        nextFiring = loopDelay.onTimer(nextFiring);
     }
-    BOOST_TEST(!lag.shouldRest(due));
+    BOOST_TEST(!loopDelay.shouldRefuseConnections(nextFiring));
 }
 
-BOOST_AUTO_TEST_CASE(pauses_of_the_machine_are_no_reason_to_rest_and_a_long_overload_is_for_long)
+BOOST_AUTO_TEST_CASE(separate_pauses_do_not_refuse_connections_and_a_long_overload_refuses_them_for_long)
 {
-    auto lag = loop_lag();
-    auto due = lag.fire(time_point(100s));
-    due = lag.fire(due + 4s); // The machine stood still.
-    BOOST_TEST(!lag.shouldRest(due));
+    auto loopDelay = event_loop_delay();
+    auto nextFiring = loopDelay.onTimer(time_point(100s));
+    nextFiring = loopDelay.onTimer(nextFiring + 4s); // The machine was suspended.
+    BOOST_TEST(!loopDelay.shouldRefuseConnections(nextFiring));
     for (auto firing = 0; firing < 100; ++firing) {
-        due = lag.fire(due);
+        nextFiring = loopDelay.onTimer(nextFiring);
     }
-    due = lag.fire(due + 300ms); // And again, seconds later.
-    BOOST_TEST(!lag.shouldRest(due));
-    // A caller's flood comes in waves of up to 20 s; between two of them the router keeps up.
+    nextFiring = loopDelay.onTimer(nextFiring + 300ms); // A second pause, seconds later.
+    BOOST_TEST(!loopDelay.shouldRefuseConnections(nextFiring));
+    // Bursts of a caller's traffic last up to 20 s. The router keeps refusing connections between two of them, although
+    // it is not late then.
     for (auto firing = 0; firing < 5; ++firing) {
-        due = lag.fire(due + 150ms);
+        nextFiring = loopDelay.onTimer(nextFiring + 150ms);
     }
     for (auto firing = 0; firing < 400; ++firing) {
-        BOOST_TEST(lag.shouldRest(due));
-        due = lag.fire(due);
+        BOOST_TEST(loopDelay.shouldRefuseConnections(nextFiring));
+        nextFiring = loopDelay.onTimer(nextFiring);
     }
 }
 
--- a/tests/unit/gateway/platform_feed_test.cpp
+++ b/tests/unit/gateway/platform_feed_test.cpp
@@ -87,10 +87,10 @@
     const auto askedAt = boot_clock::now() - 200ms;
     // A configuration that this router does not have yet: nothing is proved, and it is read from the store.
     BOOST_TEST(!feed.take(news, askedAt));
-    BOOST_TEST(!state.keys.holds(boot_clock::now()));
+    BOOST_TEST(!state.keys.isFresh(boot_clock::now()));
     news.configurationRevision = 0;
     BOOST_TEST(feed.take(news, std::nullopt));
-    BOOST_TEST(!state.keys.holds(boot_clock::now()));
+    BOOST_TEST(!state.keys.isFresh(boot_clock::now()));
 }
 
 BOOST_AUTO_TEST_CASE(a_gap_in_the_changes_is_not_passed_over)
--- a/tests/unit/gateway/route_table_test.cpp
+++ b/tests/unit/gateway/route_table_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-auto routeOf(std::string name, std::string prefix) -> route_rule
+auto makeRoute(std::string name, std::string prefix) -> route_rule
 {
     auto route = route_rule();
     route.name = std::move(name);
@@ -22,10 +22,10 @@
 
 BOOST_AUTO_TEST_SUITE(route_table_test)
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_wins)
+BOOST_AUTO_TEST_CASE(the_longest_matching_prefix_of_the_host_is_selected)
 {
     auto content = route_table_content();
-    content.routes = { routeOf("root", "/"), routeOf("a", "/a/"), routeOf("ab", "/a/b/") };
+    content.routes = { makeRoute("root", "/"), makeRoute("a", "/a/"), makeRoute("ab", "/a/b/") };
     const auto table = route_table(std::move(content));
     BOOST_TEST(table.findRoute("desk.example", "/a/b/c")->name == "ab");
     BOOST_TEST(table.findRoute("DESK.example:80", "/a/bc")->name == "a");
@@ -33,7 +33,7 @@
     BOOST_TEST((table.findRoute("other.example", "/a/") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_is_decoded_into_what_its_fields_hold)
+BOOST_AUTO_TEST_CASE(a_configuration_is_decoded_field_by_field_and_invalid_routes_are_skipped)
 {
     auto why = last_reason();
     const auto content = platform::decodeConfiguration(
@@ -50,20 +50,20 @@
     BOOST_TEST(content->version == 7U);
     BOOST_REQUIRE(content->routes.size() == 1U);
     const auto &route = content->routes.front();
-    BOOST_TEST((route.kind == route_kind::eventStream && route.resumable && route.mayRepeat() && route.carriesPrompt));
+    BOOST_TEST((route.kind == route_kind::eventStream && route.resumable && route.mayRetry() && route.carriesPrompt));
     BOOST_TEST(route.timeout.count() == 6'000);
     BOOST_TEST(route.latencyObjective.count() == 500);
     BOOST_TEST(route.eventGapObjective.count() == 200);
-    BOOST_TEST(route.serverLimit == 2U);
+    BOOST_TEST(route.maxAttempts == 2U);
     BOOST_TEST(route.targets[0].weight == 90U);
-    BOOST_TEST(content->services[0].engine->memoryTokens == 304'154U);
+    BOOST_TEST(content->services[0].engine->kvCapacityTokens == 304'154U);
     BOOST_TEST(!content->services[1].engine.has_value());
     BOOST_TEST(content->accountsByKey.at("k2").name == "alpha");
     BOOST_TEST(content->limits.headerBytes == 16'384U);
     BOOST_TEST(content->limits.bodyBytes == caller_limits().bodyBytes);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_configuration_is_refused_with_a_reason)
+BOOST_AUTO_TEST_CASE(a_malformed_configuration_is_rejected_with_a_reason)
 {
     for (const auto *text : { "", "[]", "{}", R"({"version":-1,"routes":[]})", R"({"version":1})", "\xff\xfe" }) {
         auto why = last_reason();
--- a/tests/unit/gateway/router_roster_test.cpp
+++ b/tests/unit/gateway/router_roster_test.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-auto identityOf(int number, const std::string &dataCentre = "north", double cores = 0.25) -> router_identity
+auto makeIdentity(int number, const std::string &dataCentre = "north", double cores = 0.25) -> router_identity
 {
     return { "10.0.0." + std::to_string(number) + ":7400", dataCentre, cores };
 }
 
-/// The same fleet as each of its routers sees it.
-auto rostersOf(const std::vector<router_identity> &routers) -> std::vector<router_roster>
+/// The roster of each of the routers, in which all others are known.
+auto makeRosters(const std::vector<router_identity> &routers) -> std::vector<router_roster>
 {
     auto rosters = std::vector<router_roster>();
     for (const auto &self : routers) {
@@ -29,11 +29,11 @@
     return rosters;
 }
 
-/// The first router of \p order that answers.
-auto firstAnswering(const router_roster &roster, const std::vector<std::uint64_t> &order, time_point now)
+/// The first router in \p order that is responsive.
+auto firstResponsive(const router_roster &roster, const std::vector<std::uint64_t> &order, time_point now)
     -> std::uint64_t
 {
-    const auto found = std::find_if(order.begin(), order.end(), [&](auto id) { return roster.answers(id, now); });
+    const auto found = std::find_if(order.begin(), order.end(), [&](auto id) { return roster.isResponsive(id, now); });
     BOOST_REQUIRE((found != order.end()));
     return *found;
 }
@@ -42,55 +42,55 @@
 
 BOOST_AUTO_TEST_SUITE(router_roster_test)
 
-BOOST_AUTO_TEST_CASE(all_routers_agree_and_large_ones_dispatch)
+BOOST_AUTO_TEST_CASE(all_routers_compute_the_same_dispatch_order_with_large_routers_first)
 {
     auto routers = std::vector<router_identity>();
     for (auto number = 0; number < 60; ++number) {
-        routers.push_back(identityOf(number, "north", number < 6 ? 0.5 : 0.12));
+        routers.push_back(makeIdentity(number, "north", number < 6 ? 0.5 : 0.12));
     }
-    auto rosters = rostersOf(routers);
+    auto rosters = makeRosters(routers);
     auto dispatchers = std::set<std::uint64_t>();
-    for (auto part = std::uint32_t(0); part < 4; ++part) {
-        const auto first = rosters.front().dispatchOrder(99, part);
+    for (auto shard = std::uint32_t(0); shard < 4; ++shard) {
+        const auto first = rosters.front().dispatchOrder(99, shard);
         BOOST_TEST(first.size() == 60U);
         for (auto &roster : rosters) {
-            BOOST_TEST((roster.dispatchOrder(99, part) == first));
+            BOOST_TEST((roster.dispatchOrder(99, shard) == first));
         }
         dispatchers.insert(first.front());
     }
-    // Four parts, four dispatchers, all of them large.
+    // Four shards have four different dispatchers, all of them large routers.
     BOOST_TEST(dispatchers.size() == 4U);
     for (auto number = 6; number < 60; ++number) {
         BOOST_TEST(!dispatchers.contains(router_roster::idOf(routers[static_cast<std::size_t>(number)].address)));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_was_asked_and_is_silent_gets_no_duty_until_it_is_heard_again)
+BOOST_AUTO_TEST_CASE(a_router_that_does_not_answer_is_not_selected_until_a_message_from_it_arrives)
 {
-    auto roster = router_roster(identityOf(1));
-    roster.put(identityOf(2, "north", 1));
-    const auto other = router_roster::idOf(identityOf(2).address);
+    auto roster = router_roster(makeIdentity(1));
+    roster.put(makeIdentity(2, "north", 1));
+    const auto other = router_roster::idOf(makeIdentity(2).address);
     const auto now = time_point(100s);
-    // Nothing was asked yet: nothing speaks against it.
-    BOOST_TEST(firstAnswering(roster, roster.dispatchOrder(7, 0), now + 1h) == other);
-    roster.noteAsked(other, now);
-    roster.noteAsked(other, now + 600ms); // The wait counts from the first question.
-    BOOST_TEST(roster.answers(other, now + 700ms));
-    BOOST_TEST(!roster.answers(other, now + 701ms));
-    BOOST_TEST(firstAnswering(roster, roster.dispatchOrder(7, 0), now + 1s) == roster.self());
-    roster.noteHeard(other);
-    BOOST_TEST(roster.answers(other, now + 2s));
-    roster.noteLeft(other, now + 2s);
-    BOOST_TEST(!roster.answers(other, now + 2s));
+    // Without an unanswered message, a router counts as responsive.
+    BOOST_TEST(firstResponsive(roster, roster.dispatchOrder(7, 0), now + 1h) == other);
+    roster.noteRequestSent(other, now);
+    roster.noteRequestSent(other, now + 600ms); // The silence counts from the first message.
+    BOOST_TEST(roster.isResponsive(other, now + 700ms));
+    BOOST_TEST(!roster.isResponsive(other, now + 701ms));
+    BOOST_TEST(firstResponsive(roster, roster.dispatchOrder(7, 0), now + 1s) == roster.self());
+    roster.noteMessageReceived(other);
+    BOOST_TEST(roster.isResponsive(other, now + 2s));
+    roster.noteStopping(other, now + 2s);
+    BOOST_TEST(!roster.isResponsive(other, now + 2s));
 }
 
 BOOST_AUTO_TEST_CASE(two_routers_of_each_data_centre_watch_the_store)
 {
     auto routers = std::vector<router_identity>();
     for (auto number = 0; number < 30; ++number) {
-        routers.push_back(identityOf(number, number % 2 == 0 ? "north" : "south"));
+        routers.push_back(makeIdentity(number, number % 2 == 0 ? "north" : "south"));
     }
-    auto rosters = rostersOf(routers);
+    auto rosters = makeRosters(routers);
     const auto now = time_point(100s);
     auto watching = std::map<std::string, int>();
     for (auto index = std::size_t(0); index < rosters.size(); ++index) {
@@ -102,18 +102,18 @@
     BOOST_TEST(watching["south"] == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_router_without_current_news_watches_itself_and_stops_when_they_come_again)
+BOOST_AUTO_TEST_CASE(a_router_without_current_updates_watches_the_store_until_they_arrive_again)
 {
     auto routers = std::vector<router_identity>();
     for (auto number = 0; number < 9; ++number) {
-        routers.push_back(identityOf(number));
+        routers.push_back(makeIdentity(number));
     }
-    for (auto &roster : rostersOf(routers)) {
+    for (auto &roster : makeRosters(routers)) {
         const auto start = time_point(100s);
         auto duty = watch_duty(start);
         duty.noteJoined(start);
         if (duty.watches(roster, start)) {
-            continue; // On duty.
+            continue; // Designated by the order of the routers.
         }
         auto now = start;
         for (; now < start + 3s; now += 400ms) {
@@ -122,15 +122,16 @@
         }
         BOOST_TEST(duty.watches(roster, now + 2s));
         duty.noteCurrent(now + 3s);
-        BOOST_TEST(duty.watches(roster, now + 3s)); // For a while, so that it does not change with each message.
+        // It goes on for a minimum time, so that it does not start and stop with each message.
+        BOOST_TEST(duty.watches(roster, now + 3s));
         duty.noteCurrent(now + 7s);
         BOOST_TEST(!duty.watches(roster, now + 7s));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_cannot_join_watches_itself)
+BOOST_AUTO_TEST_CASE(a_router_that_learns_of_no_others_watches_the_store)
 {
-    auto roster = router_roster(identityOf(1));
+    auto roster = router_roster(makeIdentity(1));
     auto duty = watch_duty(time_point(100s));
     BOOST_TEST(!duty.watches(roster, time_point(100s)));
     BOOST_TEST(duty.watches(roster, time_point(102s)));
--- a/tests/unit/gateway/server_directory_test.cpp
+++ b/tests/unit/gateway/server_directory_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-auto serverOf(std::string id, std::int64_t startedMs = 1, bool leaving = false) -> listed_server
+auto makeServer(std::string id, std::int64_t startedMs = 1, bool leaving = false) -> listed_server
 {
     auto server = listed_server();
     server.id = std::move(id);
@@ -34,59 +34,59 @@
 
 BOOST_FIXTURE_TEST_SUITE(server_directory_test, directory_fixture)
 
-BOOST_AUTO_TEST_CASE(a_leaving_or_removed_server_gets_nothing_new_at_once)
+BOOST_AUTO_TEST_CASE(a_draining_or_removed_server_is_unusable_at_once)
 {
-    directory.replaceAll({ serverOf("a"), serverOf("b"), serverOf("c") }, now);
+    directory.replaceAll({ makeServer("a"), makeServer("b"), makeServer("c") }, now);
     BOOST_TEST(usable() == 3U);
     const auto chosen = directory.usable("desk").front();
-    directory.put(serverOf("a", 1, true), now);
+    directory.put(makeServer("a", 1, true), now);
     directory.remove("b", now);
     BOOST_TEST(usable() == 1U);
     BOOST_TEST(!directory.isUsable(*chosen));
-    // An older entry of the same run that comes late does not bring it back; a new run does.
-    directory.put(serverOf("a"), now);
+    // A late, older entry of the same incarnation does not make it usable again; a new incarnation does.
+    directory.put(makeServer("a"), now);
     BOOST_TEST(usable() == 1U);
-    directory.put(serverOf("a", 2), now);
+    directory.put(makeServer("a", 2), now);
     BOOST_TEST(usable() == 2U);
     BOOST_TEST(!directory.isUsable(*chosen));
 }
 
-BOOST_AUTO_TEST_CASE(entries_that_lapse_around_an_outage_stay_in_use_until_renewal_is_over)
+BOOST_AUTO_TEST_CASE(entries_that_expire_around_an_outage_stay_usable_until_the_renewal_period_ends)
 {
-    directory.replaceAll({ serverOf("a"), serverOf("b"), serverOf("c") }, now);
+    directory.replaceAll({ makeServer("a"), makeServer("b"), makeServer("c") }, now);
     directory.onStoreLost();
     directory.remove("a", now);
     now += 60s;
     directory.tick(now);
     BOOST_TEST(usable() == 3U);
     directory.onStoreRegained(now);
-    directory.replaceAll({ serverOf("c") }, now);
+    directory.replaceAll({ makeServer("c") }, now);
     BOOST_TEST(usable() == 3U);
-    directory.put(serverOf("a"), now + 1s);
+    directory.put(makeServer("a"), now + 1s);
     directory.tick(now + server_directory::RENEWAL_TIME);
     BOOST_TEST(usable() == 2U);
-    // Afterwards a removal counts at once again.
+    // After the renewal period, a removal takes effect at once.
     directory.remove("a", now + server_directory::RENEWAL_TIME);
     BOOST_TEST(usable() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_said_to_leave_does_not_count_as_lapsed)
+BOOST_AUTO_TEST_CASE(a_draining_server_is_removed_at_once_during_an_outage)
 {
-    directory.replaceAll({ serverOf("a", 1, true) }, now);
+    directory.replaceAll({ makeServer("a", 1, true) }, now);
     directory.onStoreLost();
     directory.remove("a", now);
     BOOST_TEST(directory.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(an_address_that_answers_for_another_server_is_not_used_again)
+BOOST_AUTO_TEST_CASE(a_misdirected_server_is_unusable_until_a_new_incarnation_is_listed)
 {
-    directory.replaceAll({ serverOf("a") }, now);
+    directory.replaceAll({ makeServer("a") }, now);
     const auto before = directory.usable("desk").front();
     directory.noteMisdirected(*before);
     BOOST_TEST(usable() == 0U);
-    directory.put(serverOf("a"), now);
+    directory.put(makeServer("a"), now);
     BOOST_TEST(usable() == 0U);
-    directory.put(serverOf("a", 2), now);
+    directory.put(makeServer("a", 2), now);
     BOOST_TEST(usable() == 1U);
 }
 
