--- a/include/marjoramloom/call/call_control.h
+++ b/include/marjoramloom/call/call_control.h
@@ -12,48 +12,52 @@
 
 namespace marjoramloom {
 
-/// How others reach a running call: its session when the caller left, the ticket queue when a dispatcher suspends it.
+/// Carries signals to a running call: cancellation from its client session, suspension and move requests from the
+/// ticket queue.
 ///
-/// Made by make(). Signals may be given on any thread; they are handed to listeners on the call's own executor.
+/// Created by make(). Signals may be sent from any thread; listeners are called on the call's own executor.
 class call_control : public std::enable_shared_from_this<call_control>
 {
 public:
     using listener = std::function<void()>;
 
-    /// A control block for a call that runs on \p executor, which is a strand.
+    /// Creates a control block for a call that runs on \p executor, which must be a strand.
     static auto make(boost::asio::any_io_executor executor) -> std::shared_ptr<call_control>;
 
-    /// The caller left: the call ends as soon as it can. Thread safe.
+    /// Cancels the call because its caller disconnected. The call ends as soon as possible. Thread safe.
     auto cancel() -> void;
 
-    /// Gives up the place of \p running for now; does nothing where that ticket no longer runs. Thread safe.
-    auto suspend(ticket_id running) -> void;
+    /// Requests that the call releases the grant of \p ticketId and waits for a new one. Has no effect if that ticket
+    /// no longer runs. Thread safe.
+    auto suspend(ticket_id ticketId) -> void;
 
-    /// Moves the call off the server that \p running uses, which is about to stop. Thread safe.
-    auto move(ticket_id running) -> void;
+    /// Requests that the call moves away from the server of \p ticketId, because that server is about to stop. Thread
+    /// safe.
+    auto move(ticket_id ticketId) -> void;
 
     /// Whether cancel() was called. Thread safe.
     [[nodiscard]] auto cancelled() const -> bool;
 
-    /// Whether \p running is to be suspended; the request is used up. Thread safe.
-    [[nodiscard]] auto takeSuspension(ticket_id running) -> bool;
+    /// Returns whether \p ticketId is to be suspended, and clears that request. Thread safe.
+    [[nodiscard]] auto takeSuspension(ticket_id ticketId) -> bool;
 
-    /// Whether \p running is to be moved; the request is used up. Thread safe.
-    [[nodiscard]] auto takeMove(ticket_id running) -> bool;
+    /// Returns whether \p ticketId is to be moved, and clears that request. Thread safe.
+    [[nodiscard]] auto takeMove(ticket_id ticketId) -> bool;
 
     /// The call's executor. Thread safe.
     [[nodiscard]] auto executor() const -> const boost::asio::any_io_executor &;
 
-    /// Calls \p wake after each signal until forget(). Call on the call's executor only.
-    auto listen(listener wake) -> std::uint64_t;
+    /// Registers \p wake, which is called after each signal until removeListener(). Returns the id for
+    /// removeListener(). Call on the call's executor only.
+    auto addListener(listener wake) -> std::uint64_t;
 
-    /// Ends listen(). Call on the call's executor only.
-    auto forget(std::uint64_t listening) -> void;
+    /// Removes the listener \p listenerId. Call on the call's executor only.
+    auto removeListener(std::uint64_t listenerId) -> void;
 
 private:
     explicit call_control(boost::asio::any_io_executor executor);
     auto wakeListeners() -> void;
-    auto take(std::optional<ticket_id> &wanted, ticket_id running) -> bool;
+    auto takePending(std::optional<ticket_id> &pending, ticket_id ticketId) -> bool;
 
     boost::asio::any_io_executor m_executor;
     std::atomic<bool> m_cancelled = false;
--- a/include/marjoramloom/call/completion_body.h
+++ b/include/marjoramloom/call/completion_body.h
@@ -8,17 +8,19 @@
 
 namespace marjoramloom {
 
-/// A completions request that can be asked again for the rest of its answer. Not thread safe.
+/// A parsed completions request, from which a follow-up request for the rest of its answer can be built. Not thread
+/// safe.
 class completion_body
 {
 public:
-    /// Reads a caller's request; nothing (why: invalidInput) where it is not a completions request.
+    /// Parses a caller's request. Returns nothing (why: invalidInput) if it is not a valid completions request.
     static auto parse(const std::string &body, last_reason &why) -> std::optional<completion_body>;
 
-    /// The request for what comes after \p textSoFar, of which \p generatedTokens were generated; always a stream.
+    /// Builds the request for the part of the answer after \p textSoFar, which took \p generatedTokens tokens. The
+    /// request always asks for a stream.
     [[nodiscard]] auto continuation(const std::string &textSoFar, std::uint64_t generatedTokens) const -> std::string;
 
-    /// Whether the caller's limit of tokens is used up after \p generatedTokens.
+    /// Whether \p generatedTokens reach the caller's max_tokens.
     [[nodiscard]] auto limitReached(std::uint64_t generatedTokens) const -> bool;
 
     [[nodiscard]] auto model() const -> const std::string &;
@@ -26,9 +28,9 @@
     [[nodiscard]] auto stream() const -> bool;
     /// The caller's max_tokens; 0 where absent.
     [[nodiscard]] auto maxTokens() const -> std::uint64_t;
-    /// The prompt's tokens, guessed from its length.
-    [[nodiscard]] auto guessedPromptTokens() const -> std::uint64_t;
-    /// Hash of the prompt's beginning: all messages but the last, or the only one.
+    /// Number of prompt tokens, estimated from the prompt's length.
+    [[nodiscard]] auto estimatedPromptTokens() const -> std::uint64_t;
+    /// Hash of the model and all messages except the last, or of the only message.
     [[nodiscard]] auto prefixHash() const -> std::uint64_t;
 
 private:
@@ -40,17 +42,17 @@
     bool m_stream = false;
 };
 
-/// The JSON answer for a caller that did not ask for a stream. Thread safe.
+/// Formats the JSON answer for a caller that did not ask for a stream. Thread safe.
 auto completionAnswer(const std::string &requestId, const std::string &model, const std::string &text,
                       const std::string &finishReason, const call_result &result) -> std::string;
 
-/// One server-sent event for a caller that asked for a stream. Thread safe.
+/// Formats \p piece as a server-sent event for a caller that asked for a stream. Thread safe.
 auto streamEvent(const std::string &requestId, const std::string &model, const answer_piece &piece) -> std::string;
 
-/// The end marker of a whole stream, with sequence \p sequence. Thread safe.
+/// Formats the end marker of a complete stream as event number \p sequence. Thread safe.
 auto streamEnd(const std::string &requestId, std::uint64_t sequence) -> std::string;
 
-/// The event that tells a caller that its stream cannot be completed. Thread safe.
+/// Formats the error event that ends a stream which cannot be completed. Thread safe.
 auto streamError(const std::string &requestId, const last_reason &reason) -> std::string;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/call/drain_tracker.h
+++ b/include/marjoramloom/call/drain_tracker.h
@@ -6,43 +6,43 @@
 
 namespace marjoramloom {
 
-/// Counts what has to end before a process may stop: requests, and the clean-up that they leave. Thread safe.
+/// Counts the work that must end before the process may stop: requests and their asynchronous clean-up. Thread safe.
 class drain_tracker
 {
 public:
-    /// Holds the process while it exists.
-    class hold
+    /// Counts as one piece of active work during its lifetime.
+    class work_guard
     {
     public:
-        explicit hold(drain_tracker &tracker);
-        ~hold();
-        hold(hold &&other) noexcept;
-        auto operator=(hold &&) -> hold & = delete;
-        hold(const hold &) = delete;
-        auto operator=(const hold &) -> hold & = delete;
+        explicit work_guard(drain_tracker &tracker);
+        ~work_guard();
+        work_guard(work_guard &&other) noexcept;
+        auto operator=(work_guard &&) -> work_guard & = delete;
+        work_guard(const work_guard &) = delete;
+        auto operator=(const work_guard &) -> work_guard & = delete;
 
     private:
         drain_tracker *m_tracker;
     };
 
-    /// A hold for one piece of work. Precondition: the tracker outlives it.
-    [[nodiscard]] auto enter() -> hold;
+    /// Registers one piece of work, which ends with the guard. Precondition: the tracker outlives the guard.
+    [[nodiscard]] auto beginWork() -> work_guard;
 
-    /// From now on the end of the last hold calls \p onDrained, once, on the thread that ended it; at once where
-    /// nothing is held. Call once. Work may still enter: a connection that is open may bring another request.
+    /// Calls \p onDrained once when no work is active: at once, or on the thread that ends the last work. Call once.
+    /// New work may still begin, because an open connection may carry another request.
     auto drain(std::function<void()> onDrained) -> void;
 
     /// Whether drain() was called.
     [[nodiscard]] auto draining() const -> bool;
 
-    /// Holds that exist.
-    [[nodiscard]] auto held() const -> std::size_t;
+    /// Number of pieces of work that have begun and not ended.
+    [[nodiscard]] auto activeCount() const -> std::size_t;
 
 private:
-    auto leave() -> void;
+    auto endWork() -> void;
 
     mutable std::mutex m_mutex;
-    std::size_t m_held = 0;
+    std::size_t m_activeCount = 0;
     bool m_draining = false;
     std::function<void()> m_onDrained;
 };
--- a/include/marjoramloom/call/event_checker.h
+++ b/include/marjoramloom/call/event_checker.h
@@ -9,15 +9,15 @@
 
 namespace marjoramloom {
 
-/// What a checked event means for the answer that it arrived in.
+/// Result of checking one event of a stream.
 enum class event_verdict {
     next, ///< The next piece of the answer.
-    finish, ///< The next piece, and the last one.
+    finish, ///< The last piece of the answer.
     done, ///< The end marker after the last piece.
-    repeated, ///< Seen before: to be dropped.
-    gap, ///< Events before it are missing: the stream is broken.
-    crossed, ///< Belongs to another request: the stream is broken.
-    malformed, ///< Unreadable: the stream is broken.
+    repeated, ///< A duplicate of an earlier event, to be dropped.
+    gap, ///< Earlier events are missing; the connection must be closed.
+    crossed, ///< The event belongs to another request; the connection must be closed.
+    malformed, ///< The event cannot be parsed or is not valid here; the connection must be closed.
 };
 
 template<>
@@ -34,15 +34,15 @@
     };
 };
 
-/// Tokens of one answer, as its engine counted them.
+/// Token counts of one answer, as reported by the engine.
 struct token_usage
 {
     std::uint64_t promptTokens = 0;
-    std::uint64_t cachedTokens = 0; ///< Of the prompt tokens.
+    std::uint64_t cachedTokens = 0; ///< Prompt tokens that were read from the prefix cache.
     std::uint64_t generatedTokens = 0;
 };
 
-/// An event of an engine's stream after its checks.
+/// Verdict on an event of an engine's stream, with its parsed content.
 struct checked_event
 {
     event_verdict verdict = event_verdict::malformed;
@@ -51,31 +51,32 @@
     std::optional<token_usage> usage;
 };
 
-/// Checks that the events of a stream belong to one request and come in order, each once, whatever connections they
-/// arrive on. A broken stream may go on on a new connection, from lastEventId(). Not thread safe.
+/// Checks that the events of a stream belong to one request and arrive in order without duplicates, across all
+/// connections used for the stream. A broken stream may be resumed on a new connection after lastEventId(). Not thread
+/// safe.
 class event_checker
 {
 public:
     /// Precondition: \p requestId is not empty.
     explicit event_checker(std::string requestId);
 
-    /// The verdict on the event that arrived next. After gap, crossed or malformed its connection must not be read on.
+    /// Checks the next event to arrive. After gap, crossed or malformed, nothing more may be read from its connection.
     [[nodiscard]] auto check(const sse_event &event) -> checked_event;
 
-    /// Id of the last accepted event, empty before the first.
+    /// Id of the last accepted event; empty before the first.
     [[nodiscard]] auto lastEventId() const -> std::string;
 
-    /// Events accepted so far.
+    /// Number of events accepted so far.
     [[nodiscard]] auto accepted() const -> std::uint64_t;
 
     /// Whether the last piece was accepted.
     [[nodiscard]] auto finished() const -> bool;
 
 private:
-    auto readBody(const std::string &data, checked_event &result) const -> event_verdict;
+    auto parseBody(const std::string &data, checked_event &result) const -> event_verdict;
 
     std::string m_requestId;
-    std::uint64_t m_next = 0;
+    std::uint64_t m_nextSequence = 0;
     bool m_finished = false;
 };
 
--- a/include/marjoramloom/call/hedge_policy.h
+++ b/include/marjoramloom/call/hedge_policy.h
@@ -9,31 +9,31 @@
 
 namespace marjoramloom {
 
-/// Says when a second attempt may be started beside a slow first one: after a learnt quantile of the time to the first
-/// event, from a budget. Thread safe.
+/// Decides when a second attempt may be started in parallel to a slow first one: after an observed quantile of the time
+/// to the first event, and within a budget. Thread safe.
 class hedge_policy
 {
 public:
-    /// Precondition: 0 <= \p fraction < 1: hedges over calls.
+    /// \p fraction is the maximum ratio of hedges to calls. Precondition: 0 <= \p fraction < 1.
     explicit hedge_policy(double fraction);
 
-    /// A call of \p kind started (any number that tells sorts of work apart).
+    /// Records the start of a call that may be hedged, which adds to the budget.
     auto onCall() -> void;
 
-    /// A first event came after \p seconds.
+    /// Records that a first event arrived after \p seconds.
     auto observe(double seconds) -> void;
 
-    /// How long to wait for a first event before hedging; nothing while too little was observed.
+    /// Time to wait for a first event before hedging; nothing if there are too few observations.
     [[nodiscard]] auto delay() const -> std::optional<duration>;
 
-    /// Takes one hedge from the budget; false where none is left.
+    /// Takes one hedge from the budget. Returns false if none is left.
     [[nodiscard]] auto take() -> bool;
 
-    /// Gives a hedge back that was not started.
+    /// Returns a hedge that was not started to the budget.
     auto giveBack() -> void;
 
 private:
-    /// Counts of first-event times in bins of equal ratio.
+    /// Counts of first-event times in logarithmic bins.
     struct histogram
     {
         static constexpr std::size_t BINS = 160;
@@ -43,14 +43,14 @@
 
     static auto binOf(double seconds) -> std::size_t;
 
-    static constexpr double QUANTILE = 0.95;
-    static constexpr std::uint32_t WINDOW = 1000; ///< Observations of one half of the sliding window.
-    static constexpr std::uint32_t ENOUGH = 50; ///< Observations before any hedge.
-    static constexpr double BURST = 4; ///< Hedges that may be started at once.
+    static constexpr double DELAY_QUANTILE = 0.95;
+    static constexpr std::uint32_t HALF_WINDOW_OBSERVATIONS = 1000; ///< The window covers one to two halves.
+    static constexpr std::uint32_t MIN_OBSERVATIONS = 50; ///< Before any hedge.
+    static constexpr double MAX_SAVED_HEDGES = 4; ///< Hedges that may be started in one burst.
 
     mutable std::mutex m_mutex;
     double m_fraction;
-    double m_tokens = 0;
+    double m_available = 0;
     histogram m_current;
     histogram m_previous;
 };
--- a/include/marjoramloom/call/load_watch.h
+++ b/include/marjoramloom/call/load_watch.h
@@ -12,37 +12,40 @@
 
 namespace marjoramloom {
 
-/// A backend server whose load is watched.
+/// A backend server to poll.
 struct watched_server
 {
     object_id id;
     std::string address; ///< IP:port.
 };
 
-/// Rate and limits of a load watch.
+/// Polling rate and timeout of a load_watch.
 struct load_watch_settings
 {
-    duration period = std::chrono::seconds(1); ///< Of one server.
-    duration spacing = std::chrono::milliseconds(5); ///< Least time between two polls, over all servers.
-    duration limit = std::chrono::seconds(1); ///< Of one poll.
+    duration period = std::chrono::seconds(1); ///< Time between two polls of the same server.
+    duration spacing = std::chrono::milliseconds(5); ///< Minimum time between two polls of any servers.
+    duration limit = std::chrono::seconds(1); ///< Timeout of each step of a poll: connect, send, read.
 };
 
-/// Polls the load reports of model engines at a bounded rate.
+/// Polls the load reports of model engines at a limited rate.
 ///
-/// Runs on the executor given, a strand, where callbacks are called too; not thread safe. Held by std::shared_ptr.
+/// Runs on the given executor, which must be a strand, and calls the callbacks there. Not thread safe. Must be owned by
+/// a std::shared_ptr.
 class load_watch : public std::enable_shared_from_this<load_watch>
 {
 public:
+    /// Functions that receive the results of polls.
     struct callbacks
     {
         std::function<void(const load_report &)> onReport;
-        std::function<void(object_id)> onLeaving; ///< The server said so.
-        std::function<void(object_id, std::uint32_t failures)> onSilent; ///< Failed polls in a row.
+        std::function<void(object_id)> onLeaving; ///< The server answered that it is leaving.
+        std::function<void(object_id, std::uint32_t failures)>
+            onPollFailed; ///< With the number of consecutive failures.
     };
 
     load_watch(boost::asio::any_io_executor executor, load_watch_settings settings, callbacks handlers);
 
-    /// Polls \p servers from now on, and no others.
+    /// Replaces the set of polled servers by \p servers.
     auto setServers(const std::vector<watched_server> &servers) -> void;
 
     /// Starts polling until stop(). Call once.
@@ -50,22 +53,23 @@
     auto stop() -> void;
 
 private:
+    /// Polling state of one server.
     struct watch_entry
     {
         std::string address;
-        time_point due;
+        time_point nextPollAt;
         bool polling = false;
         std::uint32_t failures = 0;
-        std::shared_ptr<http_connection> connection; ///< Of the last poll, where it ended cleanly.
+        std::shared_ptr<http_connection> connection; ///< Kept from the last poll if that ended cleanly.
     };
 
     auto run(std::shared_ptr<load_watch> self) -> boost::asio::awaitable<void>;
     auto poll(std::shared_ptr<load_watch> self, object_id id, std::string address) -> boost::asio::awaitable<void>;
-    auto exchange(std::shared_ptr<http_connection> connection, last_reason &why)
+    auto requestReport(std::shared_ptr<http_connection> connection, last_reason &why)
         -> boost::asio::awaitable<std::optional<std::string>>;
     auto connectionFor(object_id id, const std::string &address, last_reason &why)
         -> boost::asio::awaitable<std::shared_ptr<http_connection>>;
-    auto nextDue(time_point now) -> std::pair<object_id, watch_entry *>;
+    auto nextServerToPoll(time_point now) -> std::pair<object_id, watch_entry *>;
     auto finishPoll(object_id id, const std::string &address, const std::optional<std::string> &body,
                     std::shared_ptr<http_connection> connection) -> void;
 
@@ -77,7 +81,7 @@
     bool m_stopped = false;
 };
 
-/// Reads an engine's load report; nothing (why: protocolViolation) where it is malformed. Thread safe.
+/// Parses an engine's load report. Returns nothing (why: protocolViolation) if it is malformed. Thread safe.
 auto parseLoadReport(object_id server, const std::string &body, last_reason &why) -> std::optional<load_report>;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/call/model_call.h
+++ b/include/marjoramloom/call/model_call.h
@@ -14,11 +14,13 @@
 
 namespace marjoramloom {
 
-/// Carries out one model request: waits for a grant, runs the attempt, delivers the answer's pieces in order, and
-/// settles what was used. Goes on elsewhere from the text so far where an engine fails, or gives up its place.
+/// Runs one model request: waits for a grant, runs the attempt, delivers the pieces of the answer in order, and settles
+/// the cost. If an engine fails, or the call is suspended or moved, it continues from the delivered text under a new
+/// grant.
 ///
-/// Runs on the executor of its control block, a strand; not thread safe. \p environment, \p source and \p sink outlive
-/// run(); environment and source also outlive the clean-up that a cancelled attempt leaves running.
+/// Runs on the executor of its control block, which must be a strand; not thread safe. \p environment, \p source and
+/// \p sink must outlive run(); environment and source must also outlive the asynchronous clean-up of cancelled
+/// attempts.
 template<grant_source Source, answer_sink Sink>
 class model_call
 {
@@ -32,41 +34,41 @@
     auto run() -> boost::asio::awaitable<call_result>;
 
 private:
-    /// One attempt and the grant that it runs under.
-    struct running_attempt
+    /// An attempt of the current round and the grant that it runs under.
+    struct round_attempt
     {
-        grant place;
+        grant granted;
         std::shared_ptr<engine_attempt> attempt;
-        double promptTokens = 0; ///< Guessed until the engine counted them.
+        double promptTokens = 0; ///< Estimated from the length of the prompt.
         time_point startedAt;
         time_point firstPieceAt;
-        duration heldBack{}; ///< By the caller, since the first piece.
+        duration deliveryTime{}; ///< Time spent waiting for the caller to accept pieces.
         std::uint64_t pieces = 0;
-        bool ended = false; ///< Failed, or its place was given up.
+        bool ended = false; ///< Finished, failed or abandoned.
     };
 
-    /// What may happen to a call from outside of its coroutine; outlives it.
+    /// Events from outside of the call's coroutine. Shared with timers and coroutines that may outlive the call.
     struct call_signals
     {
         std::shared_ptr<attempt_channel> channel;
         bool timedOut = false;
-        bool hedgeDue = false;
+        bool hedgeDelayElapsed = false;
 
         auto wake() -> void;
     };
 
-    /// A second place for a slow request, which comes from a coroutine of its own.
+    /// State of a request for a second grant, shared with the coroutine that acquires it.
     struct hedge_state
     {
-        bool unwanted = false;
-        std::optional<grant> place;
+        bool noLongerNeeded = false;
+        std::optional<grant> granted;
     };
 
-    /// How a round, one grant with its hedge, ended.
+    /// How a round ended. A round is one grant and its attempt, together with an optional hedge.
     enum class round_end {
         complete,
         failed,
-        refused, ///< Proved: the engine did not start it, and said so because it is leaving.
+        refused, ///< The engine refused the request because it is leaving, so it did not start it.
         suspended,
         moved,
         cancelled,
@@ -74,32 +76,32 @@
     };
 
     auto runRounds() -> boost::asio::awaitable<call_state>;
-    auto nextPlace() -> boost::asio::awaitable<std::optional<grant>>;
-    auto refusePlace(const grant &place) -> void;
+    auto acquireGrant() -> boost::asio::awaitable<std::optional<grant>>;
+    auto rejectGrant(const grant &granted) -> void;
     auto makeTicket() -> ticket;
-    auto mayGoOn(round_end ended) -> boost::asio::awaitable<bool>;
-    auto stateWithoutPlace() const -> call_state;
-
-    auto runRound(grant place) -> boost::asio::awaitable<round_end>;
-    auto handle(attempt_event event) -> boost::asio::awaitable<std::optional<round_end>>;
-    auto onAnswer(attempt_event event) -> boost::asio::awaitable<std::optional<round_end>>;
-    auto onFailure(const attempt_event &event) -> std::optional<round_end>;
-    auto onSignals() -> std::optional<round_end>;
+    auto prepareNextRound(round_end ended) -> boost::asio::awaitable<bool>;
+    auto stateIfIncomplete() const -> call_state;
+
+    auto runRound(grant granted) -> boost::asio::awaitable<round_end>;
+    auto handleEvent(attempt_event event) -> boost::asio::awaitable<std::optional<round_end>>;
+    auto onPiece(attempt_event event) -> boost::asio::awaitable<std::optional<round_end>>;
+    auto handleFailure(const attempt_event &event) -> std::optional<round_end>;
+    auto handleSignals() -> std::optional<round_end>;
     auto deliver(const attempt_event &event) -> boost::asio::awaitable<bool>;
-    auto startAttempt(grant place) -> bool;
-    auto othersRun(const running_attempt &than) const -> bool;
+    auto startAttempt(grant granted) -> bool;
+    auto otherAttemptsRun(const round_attempt &excluding) const -> bool;
     auto chooseWinner(std::size_t winner) -> void;
-    auto giveUpPlace(running_attempt &given) -> void;
-    auto settleFinished(running_attempt &finished, const std::optional<token_usage> &usage) -> void;
-    auto settleNow(running_attempt &ended) -> double;
+    auto abandonAttempt(round_attempt &abandoned) -> void;
+    auto settleFinishedAttempt(round_attempt &finished, const std::optional<token_usage> &usage) -> void;
+    auto settleAttempt(round_attempt &ended) -> double;
     auto endRound() -> void;
 
     auto armDeadline() -> void;
     auto armHedge() -> void;
-    auto askForHedge() -> void;
-    auto samplePace(const running_attempt &sampled, bool failed) const -> void;
-    auto costOf(const running_attempt &of) const -> double;
-    auto logStep(std::string_view event, const running_attempt &of, std::string_view reason) const -> void;
+    auto requestHedge() -> void;
+    auto reportPace(const round_attempt &sampled, bool failed) const -> void;
+    auto costOf(const round_attempt &charged) const -> double;
+    auto logStep(std::string_view event, const round_attempt &logged, std::string_view reason) const -> void;
 
     static auto acquireHedge(Source &source, hedge_policy &hedges, ticket waiting,
                              std::shared_ptr<call_control> control, std::shared_ptr<hedge_state> state,
@@ -107,9 +109,9 @@
     static auto cancelAndSettle(Source &source, connection_pool &connections, std::shared_ptr<engine_attempt> attempt,
                                 ticket_id id, double cost, duration limit) -> boost::asio::awaitable<void>;
 
-    static constexpr std::size_t CHANNEL_EVENTS = 16; ///< An attempt is held back beyond these.
+    static constexpr std::size_t CHANNEL_EVENTS = 16; ///< An attempt waits while this many events are undelivered.
     static constexpr std::uint64_t PIECES_PER_SAMPLE = 24;
-    static constexpr duration HEDGE_WAIT = std::chrono::seconds(1); ///< Longest wait of a hedge for a place.
+    static constexpr duration MAX_HEDGE_WAIT = std::chrono::seconds(1); ///< For a second grant.
 
     const call_environment &m_environment;
     Source &m_source;
@@ -123,16 +125,16 @@
     std::shared_ptr<call_signals> m_signals;
     call_result m_result;
 
-    std::string m_text; ///< Delivered so far.
-    std::uint64_t m_delivered = 0; ///< Pieces.
-    std::uint32_t m_retries = 0; ///< Since the last piece.
-    bool m_maybeRan = false;
+    std::string m_deliveredText;
+    std::uint64_t m_deliveredPieces = 0;
+    std::uint32_t m_retries = 0; ///< Since the last delivered piece.
+    bool m_mayHaveRun = false;
     bool m_promptCharged = false;
-    std::vector<object_id> m_excluded; ///< Servers that failed since the last piece.
+    std::vector<object_id> m_excluded; ///< Servers that failed or are leaving, since the last delivered piece.
 
-    std::vector<running_attempt> m_running; ///< Of the round.
-    std::optional<std::size_t> m_winner; ///< Of the round: the first that had a piece.
-    std::shared_ptr<hedge_state> m_hedge; ///< Of the round.
+    std::vector<round_attempt> m_roundAttempts; ///< All attempts of the current round, also ended ones.
+    std::optional<std::size_t> m_winner; ///< Index of the attempt of the round that delivered the first piece.
+    std::shared_ptr<hedge_state> m_hedge; ///< Of the current round.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/call/plain_call.h
+++ b/include/marjoramloom/call/plain_call.h
@@ -10,7 +10,7 @@
 
 namespace marjoramloom {
 
-/// A call to a plain service as its caller sent it.
+/// A call to a plain (non-model) service as its caller sent it.
 struct plain_request
 {
     std::string requestId;
@@ -18,15 +18,15 @@
     std::string target; ///< Path and query, from "/".
     std::string contentType;
     std::string body;
-    bool repeatable = true;
-    std::string idempotencyKey; ///< The caller's, passed on; empty for none.
-    std::string accountName; ///< Passed on; empty for none.
+    bool repeatable = true; ///< Whether it may run more than once, as set for the service.
+    std::string idempotencyKey; ///< The caller's key, forwarded to the service; empty for none.
+    std::string accountName; ///< Forwarded to the service; empty for none.
 };
 
-/// A plain service's whole answer.
+/// The complete answer of a plain service.
 struct plain_answer
 {
-    std::uint32_t status = 0; ///< HTTP.
+    std::uint32_t status = 0; ///< HTTP status.
     std::string contentType;
     std::string body;
 };
@@ -35,28 +35,29 @@
 struct plain_limits
 {
     duration connect = std::chrono::seconds(1);
-    duration redialAfter = std::chrono::seconds(2); ///< A used connection that stays silent is replaced.
+    duration reconnectAfter = std::chrono::seconds(2); ///< A reused connection that stays silent is replaced.
     duration answer = std::chrono::seconds(30);
     std::size_t answerBytes = 4U << 20U;
 };
 
-/// How a plain call, or one attempt of it, ended.
+/// Outcome of a plain call, or of one attempt of it.
 struct plain_result
 {
     call_state state = call_state::notRun;
-    std::optional<plain_answer> answer; ///< Where complete.
-    last_reason reason; ///< Where not complete.
+    std::optional<plain_answer> answer; ///< Set if state is complete.
+    last_reason reason; ///< Set if state is not complete.
     bool leaving = false; ///< The server refused because it is leaving; state is notRun.
     std::uint32_t attempts = 0;
 };
 
-/// One attempt to carry out \p request at \p address. A call that is not repeatable uses a connection of its own, so
-/// that notRun is proved: the connection was never opened, or the server itself refused as leaving. After the first
-/// byte any failure is unknownOutcome. \p connections outlives it; parameters are by value, as a caller may leave.
+/// Makes one attempt to run \p request on the server at \p address. A request that is not repeatable uses a new
+/// connection, so that notRun is certain: the connection was never opened, or the server refused because it is leaving.
+/// Any failure after the first byte was sent is unknownOutcome. \p connections must outlive the coroutine; the other
+/// parameters are passed by value, because the caller may disconnect before it ends.
 auto callPlainService(connection_pool &connections, std::string address, plain_request request, plain_limits limits)
     -> boost::asio::awaitable<plain_result>;
 
-/// What a plain call needs to get a place and to be charged.
+/// Parameters of runPlainCall(): the request and what is needed to get a grant and to charge the account.
 struct plain_work
 {
     plain_request request;
@@ -68,11 +69,11 @@
     time_point arrived;
 };
 
-/// Carries out a plain call: waits for a grant, makes the attempt, settles it.
+/// Runs a plain call: waits for a grant, makes an attempt and settles the cost.
 ///
-/// Another attempt follows where the last one is proved not to have run, or where the call is repeatable and the retry
-/// budget allows; never after a call that is not repeatable may have started. Runs on the control's executor;
-/// \p environment and \p source outlive it.
+/// A failed attempt is retried, within the retry budget, if it certainly did not run or if the call is repeatable. A
+/// call that is not repeatable is never retried once it may have started. Runs on the control's executor;
+/// \p environment and \p source must outlive it.
 template<grant_source Source>
 auto runPlainCall(const call_environment &environment, Source &source, std::shared_ptr<call_control> control,
                   plain_work work) -> boost::asio::awaitable<plain_result>;
--- a/include/marjoramloom/call/plain_call.inl
+++ b/include/marjoramloom/call/plain_call.inl
@@ -11,14 +11,14 @@
 
 namespace detail {
 
-/// The ticket of a plain call's next attempt.
+/// Creates the ticket for the next attempt of a plain call.
 auto makePlainTicket(const call_environment &environment, const plain_work &work, ticket_id id,
                      std::vector<object_id> excluded) -> ticket;
 
-/// Takes the next attempt's failure into \p result; a call that may have run stays so.
-auto absorbAttempt(plain_result &result, plain_result attempt) -> void;
+/// Replaces \p result by that of the next attempt, but keeps unknownOutcome if an earlier attempt may have run.
+auto mergeAttempt(plain_result &result, plain_result attempt) -> void;
 
-/// Whether another attempt may follow one that ended as \p attempt, the \p retries-th failure.
+/// Whether a retry may follow \p attempt, after \p retries earlier retries. Takes the retry from the budget.
 auto mayRetryPlain(const call_environment &environment, const plain_work &work, const plain_result &attempt,
                    std::uint32_t retries) -> bool;
 
@@ -37,24 +37,24 @@
     while (true) {
         const auto waiting = detail::makePlainTicket(environment, work, source.nextTicket(), excluded);
         auto why = last_reason();
-        const auto place = co_await source.acquire(waiting, control, why);
-        if (!place) {
+        const auto granted = co_await source.acquire(waiting, control, why);
+        if (!granted) {
             result.reason = result.state == call_state::notRun ? why : result.reason;
             co_return result;
         }
-        const auto mayStart = co_await mayStartAt(environment.gate, place->server);
+        const auto mayStart = co_await mayStartAt(environment.gate, granted->server);
         if (!mayStart) {
-            source.settle(place->ticket, 0);
-            excluded.push_back(place->server);
+            source.settle(granted->ticket, 0);
+            excluded.push_back(granted->server);
             continue;
         }
-        const auto address = environment.addressOf(place->server);
+        const auto address = environment.addressOf(granted->server);
         if (!address || control->cancelled()) {
-            // Nothing of this attempt was sent; what earlier ones did stays true.
-            source.settle(place->ticket, 0);
-            excluded.push_back(place->server);
+            // This attempt sent nothing, so the state set by earlier attempts is kept.
+            source.settle(granted->ticket, 0);
+            excluded.push_back(granted->server);
             result.reason.fail(address ? failure_kind::cancelled : failure_kind::notSent, "start call",
-                               std::to_string(place->server.value), address ? "caller left" : "no longer configured");
+                               std::to_string(granted->server.value), address ? "caller left" : "no longer configured");
             if (control->cancelled() || ++retries > work.treatment.retries) {
                 co_return result;
             }
@@ -64,28 +64,28 @@
             .with("request", work.request.requestId)
             .with("account", work.accountName)
             .with("service", work.target.name)
-            .with("server", place->server.value)
+            .with("server", granted->server.value)
             .with("address", *address)
-            .with("reason", place->reason);
+            .with("reason", granted->reason);
         auto attempt = co_await callPlainService(*environment.connections, *address, work.request, work.limits);
-        const auto ran = attempt.state != call_state::notRun;
-        source.settle(place->ticket, ran ? work.target.callCost : 0);
+        const auto mayHaveRun = attempt.state != call_state::notRun;
+        source.settle(granted->ticket, mayHaveRun ? work.target.callCost : 0);
         if (attempt.leaving && environment.onLeaving) {
-            environment.onLeaving(place->server);
+            environment.onLeaving(granted->server);
         }
-        const auto retry = detail::mayRetryPlain(environment, work, attempt, retries);
-        const auto counted = !attempt.leaving;
-        detail::absorbAttempt(result, std::move(attempt));
-        if (!retry || control->cancelled()) {
+        const auto shouldRetry = detail::mayRetryPlain(environment, work, attempt, retries);
+        const auto countsAsRetry = !attempt.leaving;
+        detail::mergeAttempt(result, std::move(attempt));
+        if (!shouldRetry || control->cancelled()) {
             co_return result;
         }
-        excluded.push_back(place->server);
-        if (counted && environment.retries) {
-            auto pause = boost::asio::steady_timer(control->executor(), environment.retries->backoff(retries));
+        excluded.push_back(granted->server);
+        if (countsAsRetry && environment.retries) {
+            auto backoffTimer = boost::asio::steady_timer(control->executor(), environment.retries->backoff(retries));
             auto ignored = boost::system::error_code();
-            co_await pause.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
+            co_await backoffTimer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
         }
-        retries += counted ? 1 : 0;
+        retries += countsAsRetry ? 1 : 0;
     }
 }
 
--- a/include/marjoramloom/call/sse_reader.h
+++ b/include/marjoramloom/call/sse_reader.h
@@ -13,14 +13,14 @@
     std::string data;
 };
 
-/// Splits the bytes of a text/event-stream into events. Not thread safe.
+/// Incremental parser of a text/event-stream. Not thread safe.
 class sse_reader
 {
 public:
-    /// Adds \p bytes and returns the events that they complete. An event that is cut off is never returned.
+    /// Parses \p bytes and returns the events that they complete. A truncated event is never returned.
     [[nodiscard]] auto feed(std::string_view bytes) -> std::vector<sse_event>;
 
-    /// Whether an event or line exceeds the size limit; nothing more is read then.
+    /// Whether an event or line exceeded the size limit; feed() then ignores further bytes.
     [[nodiscard]] auto overflowed() const -> bool;
 
 private:
--- a/include/marjoramloom/call/start_gate.h
+++ b/include/marjoramloom/call/start_gate.h
@@ -14,38 +14,41 @@
 enum class start_permission {
     allowed,
     leaving, ///< The server takes no new work.
-    unknown, ///< This process was paused, and has not yet heard what happened meanwhile.
+    unknown, ///< This process was paused and has not yet refreshed its list of leaving servers.
 };
 
-/// Last look before a request is sent: a grant may be older than the news that its server is leaving, above all in a
-/// process that was paused between the two. Thread safe.
+/// Last check before a request is sent to a granted server. The server may have begun to leave after the grant, which
+/// this process does not know if it was paused (for example by SIGSTOP) in between. Thread safe.
 class start_gate
 {
 public:
     start_gate();
 
-    /// The process runs at \p now. Call several times a second; a gap closes the gate until refreshed().
-    auto touch(time_point now) -> void;
+    /// Records that the process runs at \p now. Must be called several times a second: a longer gap means that the
+    /// process was paused, and closes the gate until markRefreshed().
+    auto recordTick(time_point now) -> void;
 
-    /// The news that were asked for at \p askedAt have come, or cannot be had.
-    auto refreshed(time_point askedAt) -> void;
+    /// Opens the gate if the list of leaving servers was requested at \p requestedAt, after the pause. Call when the
+    /// list has arrived, or when it cannot be obtained.
+    auto markRefreshed(time_point requestedAt) -> void;
 
-    /// Servers that take no new work.
+    /// Replaces the set of servers that take no new work.
     auto setLeaving(std::set<object_id> servers) -> void;
 
-    /// Whether a request may be sent to \p server at \p now. Everything is allowed before the first touch().
+    /// Whether a request may be sent to \p server at \p now. Everything is allowed before the first recordTick().
     [[nodiscard]] auto permission(object_id server, time_point now) const -> start_permission;
 
 private:
-    /// Shorter than the time in which news of a leaving server have to take effect.
-    static constexpr duration PAUSE_LIMIT = std::chrono::milliseconds(1'500);
+    /// Must be shorter than the time in which a notice of a leaving server has to take effect.
+    static constexpr duration MAX_TICK_GAP = std::chrono::milliseconds(1'500);
 
-    std::atomic<duration::rep> m_touched = 0; ///< 0: never.
-    std::atomic<duration::rep> m_closedAt = 0; ///< 0: open.
+    std::atomic<duration::rep> m_lastTick = 0; ///< 0 before the first tick.
+    std::atomic<duration::rep> m_closedAt = 0; ///< 0 while the gate is open.
     rcu_cell<std::set<object_id>> m_leaving;
 };
 
-/// Waits while \p gate (may be null) has no news. False where \p server takes no new work. \p gate outlives it.
+/// Waits while the permission of \p gate is unknown, up to a limit. Returns false if \p server takes no new work.
+/// \p gate may be null, and must outlive the coroutine otherwise.
 auto mayStartAt(start_gate *gate, object_id server) -> boost::asio::awaitable<bool>;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/call/stop_calendar.h
+++ b/include/marjoramloom/call/stop_calendar.h
@@ -14,20 +14,22 @@
 
 namespace marjoramloom {
 
-/// Times around a stop.
+/// Time limits that apply to stops of backend servers.
 struct stop_settings
 {
-    std::chrono::milliseconds noWorkBefore{ 30'000 }; ///< A planned stop: no new work from this long before it.
-    std::chrono::milliseconds moveBefore{ 5'000 }; ///< A planned stop: running streams are moved this long before it.
-    std::chrono::milliseconds listedGrace{ 20'000 }; ///< A listed leaving server: streams are moved after this.
-    std::chrono::milliseconds noticeHold{ 15'000 }; ///< A server's own word holds this long.
+    std::chrono::milliseconds noNewWorkBefore{ 30'000 }; ///< No new work from this long before a planned stop.
+    std::chrono::milliseconds moveBefore{ 5'000 }; ///< Running streams are moved from this long before a planned stop.
+    std::chrono::milliseconds listedGrace{
+        20'000
+    }; ///< Streams are moved this long after a server was first listed as leaving.
+    std::chrono::milliseconds noticeValidity{ 15'000 }; ///< Lifetime of a notice that came from the server itself.
 };
 
-/// What a server's stops mean for its work at one moment.
+/// Whether a server takes work at a given time.
 enum class stop_phase {
     open, ///< Takes work.
-    noNewWork,
-    moving, ///< What runs there is moved elsewhere.
+    noNewWork, ///< Finishes running requests, but gets no new ones.
+    moving, ///< Running requests are moved to other servers.
 };
 
 template<>
@@ -40,58 +42,62 @@
     };
 };
 
-/// Says which backend servers are leaving, from planned stops, the instance list, and the servers' own answers.
+/// Determines which backend servers are leaving, from planned stops, the instance list, and the servers' own answers.
 ///
-/// Pure: reads no clock; times are milliseconds of the Unix epoch. Not thread safe.
+/// Reads no clock: the caller passes all times, in milliseconds since the Unix epoch. Not thread safe.
 class stop_calendar
 {
 public:
     explicit stop_calendar(stop_settings settings = {});
 
-    /// The planned stops and servers of \p accepted replace those known before.
+    /// Replaces the known servers and planned stops by those of \p accepted.
     auto setConfiguration(const configuration &accepted) -> void;
 
-    /// The instance list as of \p nowMs; call after setConfiguration(). Servers are known by their address.
+    /// Sets the instance list as of \p nowMs. Call after setConfiguration(). Servers are identified by their address.
     auto setInstances(const std::vector<listed_instance> &instances, std::int64_t nowMs) -> void;
 
-    /// A server's own word, heard at \p nowMs directly or through a peer. True where it is news, to be relayed.
+    /// Applies a notice that came from the server itself, received at \p nowMs directly or through a peer. Returns true
+    /// if it is new and must be relayed to the peers.
     auto absorb(const server_notice &notice, std::int64_t nowMs) -> bool;
 
-    /// Phase of \p server at \p nowMs.
+    /// Phase of \p server at \p nowMs; open for unknown servers.
     [[nodiscard]] auto phaseAt(object_id server, std::int64_t nowMs) const -> stop_phase;
 
-    /// All servers that are not open at \p nowMs.
+    /// All servers that are not open at \p nowMs, with their phase.
     [[nodiscard]] auto stoppingAt(std::int64_t nowMs) const -> std::map<object_id, stop_phase>;
 
-    /// The next moment after \p nowMs at which some phase changes, or nothing.
+    /// The next time after \p nowMs at which a phase may change, or nothing.
     [[nodiscard]] auto nextChange(std::int64_t nowMs) const -> std::optional<std::int64_t>;
 
-    /// Words that still hold at \p nowMs, for a peer that has just joined.
+    /// Notices that are still valid at \p nowMs, to be sent to a peer that has just joined.
     [[nodiscard]] auto notices(std::int64_t nowMs) const -> std::vector<server_notice>;
 
 private:
+    /// Start and end of a planned stop.
     struct stop_window
     {
         std::int64_t atMs = 0;
         std::int64_t untilMs = 0;
     };
 
-    struct heard_notice
+    /// The latest accepted notice of a server and the time when it was received.
+    struct received_notice
     {
         server_notice notice;
-        std::int64_t heardMs = 0;
+        std::int64_t receivedMs = 0;
     };
 
+    /// Everything that determines the phase of one server.
     struct server_entry
     {
         std::string address;
-        std::vector<stop_window> windows;
-        std::optional<std::int64_t> listedSinceMs; ///< Listed as leaving.
-        std::optional<heard_notice> heard;
+        std::vector<stop_window> stopWindows;
+        std::optional<std::int64_t> leavingSinceMs; ///< Set while the instance list has it as leaving.
+        std::optional<received_notice> received;
     };
 
     auto phaseOf(const server_entry &entry, std::int64_t nowMs) const -> stop_phase;
-    auto changesOf(const server_entry &entry) const -> std::set<std::int64_t>;
+    auto phaseChangeTimes(const server_entry &entry) const -> std::set<std::int64_t>;
 
     stop_settings m_settings;
     std::map<object_id, server_entry> m_servers;
--- a/src/call/call_control.cpp
+++ b/src/call/call_control.cpp
@@ -20,20 +20,20 @@
     wakeListeners();
 }
 
-auto call_control::suspend(ticket_id running) -> void
+auto call_control::suspend(ticket_id ticketId) -> void
 {
     {
         const auto lock = std::lock_guard(m_mutex);
-        m_suspension = running;
+        m_suspension = ticketId;
     }
     wakeListeners();
 }
 
-auto call_control::move(ticket_id running) -> void
+auto call_control::move(ticket_id ticketId) -> void
 {
     {
         const auto lock = std::lock_guard(m_mutex);
-        m_move = running;
+        m_move = ticketId;
     }
     wakeListeners();
 }
@@ -43,24 +43,24 @@
     return m_cancelled;
 }
 
-auto call_control::takeSuspension(ticket_id running) -> bool
+auto call_control::takeSuspension(ticket_id ticketId) -> bool
 {
-    return take(m_suspension, running);
+    return takePending(m_suspension, ticketId);
 }
 
-auto call_control::takeMove(ticket_id running) -> bool
+auto call_control::takeMove(ticket_id ticketId) -> bool
 {
-    return take(m_move, running);
+    return takePending(m_move, ticketId);
 }
 
-auto call_control::take(std::optional<ticket_id> &wanted, ticket_id running) -> bool
+auto call_control::takePending(std::optional<ticket_id> &pending, ticket_id ticketId) -> bool
 {
     const auto lock = std::lock_guard(m_mutex);
-    const auto meant = wanted == running;
-    if (meant) {
-        wanted.reset();
+    const auto matches = pending == ticketId;
+    if (matches) {
+        pending.reset();
     }
-    return meant;
+    return matches;
 }
 
 auto call_control::executor() const -> const boost::asio::any_io_executor &
@@ -68,21 +68,21 @@
     return m_executor;
 }
 
-auto call_control::listen(listener wake) -> std::uint64_t
+auto call_control::addListener(listener wake) -> std::uint64_t
 {
     m_listeners.emplace(m_nextListener, std::move(wake));
     return m_nextListener++;
 }
 
-auto call_control::forget(std::uint64_t listening) -> void
+auto call_control::removeListener(std::uint64_t listenerId) -> void
 {
-    m_listeners.erase(listening);
+    m_listeners.erase(listenerId);
 }
 
 auto call_control::wakeListeners() -> void
 {
     boost::asio::post(m_executor, [self = shared_from_this()] {
-        // A listener may forget itself or others, so the map is copied first.
+        // A listener may remove itself or others, so the loop runs over a copy.
         const auto listeners = self->m_listeners;
         for (const auto &[id, wake] : listeners) {
             if (self->m_listeners.contains(id)) {
--- a/src/call/completion_body.cpp
+++ b/src/call/completion_body.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Usual length of a token of English text.
+/// Average length of a token of English text.
 constexpr std::uint64_t BYTES_PER_TOKEN = 4;
 
 auto isMessage(const json::value &value) -> bool
@@ -22,7 +22,7 @@
     return role && role->is_string() && content && content->is_string();
 }
 
-auto asEvent(const std::string &id, const json::value &body) -> std::string
+auto formatEvent(const std::string &id, const json::value &body) -> std::string
 {
     return "id: " + id + "\ndata: " + json::serialize(body) + "\n\n";
 }
@@ -83,7 +83,7 @@
         auto &messages = request["messages"].get_array();
         const auto continues = messages.back().at("role") == "assistant";
         if (continues) {
-            // The caller's own prefix and the text so far are one message: an engine continues only the last one.
+            // An engine continues only the last message, so the text is appended to the caller's own assistant prefix.
             auto &content = messages.back().at("content").get_string();
             content.append(textSoFar);
         } else {
@@ -113,7 +113,7 @@
     return m_maxTokens;
 }
 
-auto completion_body::guessedPromptTokens() const -> std::uint64_t
+auto completion_body::estimatedPromptTokens() const -> std::uint64_t
 {
     auto bytes = std::uint64_t();
     for (const auto &message : m_request.at("messages").get_array()) {
@@ -158,7 +158,7 @@
                                      { "object", "chat.completion.chunk" },
                                      { "model", model },
                                      { "choices", json::array{ choice } } };
-    return asEvent(requestId + ':' + std::to_string(piece.sequence), event);
+    return formatEvent(requestId + ':' + std::to_string(piece.sequence), event);
 }
 
 auto streamEnd(const std::string &requestId, std::uint64_t sequence) -> std::string
--- a/src/call/connection_pool.cpp
+++ b/src/call/connection_pool.cpp
@@ -8,7 +8,7 @@
     -> std::shared_ptr<http_connection>
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto oldest = now - IDLE_LIMIT;
+    const auto oldest = now - MAX_IDLE_TIME;
     const auto lock = std::lock_guard(m_mutex);
     auto &idle = m_idle[peer];
     while (!idle.empty() && idle.front().since < oldest) {
@@ -18,8 +18,8 @@
         auto newest = std::move(idle.back().connection);
         const auto isFresh = now - idle.back().since < newest->idleLimit();
         idle.pop_back();
-        if (isFresh && newest->idleAndOpen()) {
-            newest->adopt(executor);
+        if (isFresh && newest->isIdleAndOpen()) {
+            newest->bindExecutor(executor);
             return newest;
         }
     }
@@ -32,12 +32,12 @@
         connection->interrupt();
         return;
     }
-    connection->release();
+    connection->unbindExecutor();
     const auto now = std::chrono::steady_clock::now();
     const auto lock = std::lock_guard(m_mutex);
     auto &idle = m_idle[connection->peer()];
     idle.push_back({ std::move(connection), now });
-    while (!idle.empty() && (idle.size() > idleLimit || idle.front().since < now - IDLE_LIMIT)) {
+    while (!idle.empty() && (idle.size() > idleLimit || idle.front().since < now - MAX_IDLE_TIME)) {
         idle.pop_front();
     }
 }
--- a/src/call/drain_tracker.cpp
+++ b/src/call/drain_tracker.cpp
@@ -5,38 +5,38 @@
 
 namespace marjoramloom {
 
-drain_tracker::hold::hold(drain_tracker &tracker)
+drain_tracker::work_guard::work_guard(drain_tracker &tracker)
     : m_tracker(&tracker)
 {
 }
 
-drain_tracker::hold::hold(hold &&other) noexcept
+drain_tracker::work_guard::work_guard(work_guard &&other) noexcept
     : m_tracker(std::exchange(other.m_tracker, nullptr))
 {
 }
 
-drain_tracker::hold::~hold()
+drain_tracker::work_guard::~work_guard()
 {
     if (m_tracker) {
-        m_tracker->leave();
+        m_tracker->endWork();
     }
 }
 
-auto drain_tracker::enter() -> hold
+auto drain_tracker::beginWork() -> work_guard
 {
     const auto lock = std::lock_guard(m_mutex);
-    ++m_held;
-    return hold(*this);
+    ++m_activeCount;
+    return work_guard(*this);
 }
 
-auto drain_tracker::leave() -> void
+auto drain_tracker::endWork() -> void
 {
     auto drained = std::function<void()>();
     {
         const auto lock = std::lock_guard(m_mutex);
-        assert(m_held > 0);
-        --m_held;
-        if (m_held == 0) {
+        assert(m_activeCount > 0);
+        --m_activeCount;
+        if (m_activeCount == 0) {
             drained = std::exchange(m_onDrained, nullptr);
         }
     }
@@ -50,7 +50,7 @@
     {
         const auto lock = std::lock_guard(m_mutex);
         m_draining = true;
-        if (m_held > 0) {
+        if (m_activeCount > 0) {
             m_onDrained = std::move(onDrained);
             return;
         }
@@ -64,10 +64,10 @@
     return m_draining;
 }
 
-auto drain_tracker::held() const -> std::size_t
+auto drain_tracker::activeCount() const -> std::size_t
 {
     const auto lock = std::lock_guard(m_mutex);
-    return m_held;
+    return m_activeCount;
 }
 
 } // namespace marjoramloom
--- a/src/call/engine_attempt.cpp
+++ b/src/call/engine_attempt.cpp
@@ -19,10 +19,10 @@
 namespace {
 
 constexpr auto HTTP_VERSION = 11U;
-constexpr auto REFUSAL_BODY_BYTES = std::size_t(64 * 1024);
-/// An engine sends its end marker right after the last piece.
-constexpr auto END_MARKER_LIMIT = duration(std::chrono::milliseconds(500));
-constexpr auto REDIALS_WITHOUT_PROGRESS = 6U;
+constexpr auto MAX_REFUSAL_BODY_BYTES = std::size_t(64 * 1024);
+/// Short, because an engine sends its end marker right after the last piece.
+constexpr auto END_MARKER_TIMEOUT = duration(std::chrono::milliseconds(500));
+constexpr auto MAX_RECONNECTS_WITHOUT_PROGRESS = 6U;
 
 auto makeRequest(http::verb verb, std::string_view target, const std::string &host) -> http_connection::request
 {
@@ -32,8 +32,8 @@
     return request;
 }
 
-/// Whether a stream can go on after an event with this verdict.
-auto belongs(event_verdict verdict) -> bool
+/// Whether the stream can continue on its connection after an event with \p verdict.
+auto keepsStreamValid(event_verdict verdict) -> bool
 {
     return verdict != event_verdict::gap && verdict != event_verdict::crossed && verdict != event_verdict::malformed;
 }
@@ -69,19 +69,19 @@
     }
 }
 
-auto engine_attempt::maybeStarted() const -> bool
+auto engine_attempt::mayHaveStarted() const -> bool
 {
-    return m_maybeStarted;
+    return m_mayHaveStarted;
 }
 
-auto engine_attempt::refusedLeaving() const -> bool
+auto engine_attempt::refusedAsLeaving() const -> bool
 {
-    return m_refusedLeaving;
+    return m_refusedAsLeaving;
 }
 
 auto engine_attempt::needsCancel() const -> bool
 {
-    return m_maybeStarted && !m_checker.finished();
+    return m_mayHaveStarted && !m_checker.finished();
 }
 
 auto engine_attempt::id() const -> const std::string &
@@ -98,7 +98,7 @@
 {
     auto outcome = co_await post();
     while (outcome == read_outcome::broken && mayResume()) {
-        ++m_redials;
+        ++m_reconnects;
         outcome = co_await resume();
     }
     if (m_stopped || outcome == read_outcome::finished) {
@@ -112,7 +112,7 @@
 
 auto engine_attempt::post() -> asio::awaitable<read_outcome>
 {
-    const auto connection = co_await open(false);
+    const auto connection = co_await openConnection(false);
     if (!connection) {
         co_return read_outcome::refused;
     }
@@ -121,8 +121,8 @@
     request.set(http::field::content_type, "application/json");
     request.body() = std::move(m_body);
     request.prepare_payload();
-    m_maybeStarted = true;
-    if (!co_await connection->send(request, m_limits.redialAfter, m_reason)) {
+    m_mayHaveStarted = true;
+    if (!co_await connection->send(request, m_limits.reconnectAfter, m_reason)) {
         co_return read_outcome::broken;
     }
     co_return co_await readAnswer(connection);
@@ -135,7 +135,7 @@
         .with("server", m_address)
         .with("after", m_checker.lastEventId())
         .with("reason", m_reason.text());
-    const auto connection = co_await open(true);
+    const auto connection = co_await openConnection(true);
     if (!connection) {
         co_return read_outcome::refused;
     }
@@ -143,15 +143,15 @@
     if (const auto last = m_checker.lastEventId(); !last.empty()) {
         request.set("Last-Event-ID", last);
     }
-    if (!co_await connection->send(request, m_limits.redialAfter, m_reason)) {
+    if (!co_await connection->send(request, m_limits.reconnectAfter, m_reason)) {
         co_return read_outcome::broken;
     }
     co_return co_await readAnswer(connection);
 }
 
-auto engine_attempt::open(bool fresh) -> asio::awaitable<std::shared_ptr<http_connection>>
+auto engine_attempt::openConnection(bool forceNew) -> asio::awaitable<std::shared_ptr<http_connection>>
 {
-    auto connection = fresh ? nullptr : m_connections.take(m_address, m_executor);
+    auto connection = forceNew ? nullptr : m_connections.take(m_address, m_executor);
     if (!connection) {
         connection = std::make_shared<http_connection>(m_executor, m_address);
         m_connection = connection;
@@ -169,7 +169,7 @@
 
 auto engine_attempt::readAnswer(std::shared_ptr<http_connection> connection) -> asio::awaitable<read_outcome>
 {
-    if (!co_await connection->readHead(silenceLimit(), m_reason)) {
+    if (!co_await connection->readHead(nextReadTimeout(), m_reason)) {
         co_return read_outcome::broken;
     }
     if (connection->status() != static_cast<unsigned>(http::status::ok)) {
@@ -177,7 +177,7 @@
     }
     auto reader = sse_reader();
     while (true) {
-        const auto part = co_await connection->readPart(silenceLimit(), m_reason);
+        const auto part = co_await connection->readPart(nextReadTimeout(), m_reason);
         if (!part) {
             co_return read_outcome::broken;
         }
@@ -189,20 +189,20 @@
         }
         const auto events = reader.feed(*part);
         for (const auto &event : events) {
-            const auto verdict = co_await handOver(event);
-            if (m_stopped || !belongs(verdict)) {
-                reject(event, verdict);
+            const auto verdict = co_await forwardEvent(event);
+            if (m_stopped || !keepsStreamValid(verdict)) {
+                rejectEvent(event, verdict);
                 co_return m_checker.finished() ? read_outcome::finished : read_outcome::broken;
             }
         }
         if (m_checker.finished()) {
-            co_await finishConnection(connection, reader);
+            co_await drainConnection(connection, reader);
             co_return read_outcome::finished;
         }
     }
 }
 
-auto engine_attempt::reject(const sse_event &event, event_verdict verdict) -> void
+auto engine_attempt::rejectEvent(const sse_event &event, event_verdict verdict) -> void
 {
     m_reason.fail(failure_kind::protocolViolation, "check event", m_address,
                   std::string(nameOf(verdict)) + " event " + event.id);
@@ -214,12 +214,12 @@
     const auto status = connection->status();
     const auto leaving = connection->header("X-Leaving") == "true";
     auto ignored = last_reason();
-    co_await connection->readRest(REFUSAL_BODY_BYTES, m_limits.connect, ignored);
+    co_await connection->readRest(MAX_REFUSAL_BODY_BYTES, m_limits.connect, ignored);
     m_connections.giveBack(connection);
     m_connection = nullptr;
-    if (leaving && m_checker.accepted() == 0 && m_redials == 0) {
-        m_refusedLeaving = true;
-        m_maybeStarted = false;
+    if (leaving && m_checker.accepted() == 0 && m_reconnects == 0) {
+        m_refusedAsLeaving = true;
+        m_mayHaveStarted = false;
         m_reason.fail(failure_kind::leaving, "send request", m_address, "leaving");
         co_return read_outcome::refused;
     }
@@ -227,41 +227,41 @@
     co_return read_outcome::refused;
 }
 
-auto engine_attempt::handOver(const sse_event &event) -> asio::awaitable<event_verdict>
+auto engine_attempt::forwardEvent(const sse_event &event) -> asio::awaitable<event_verdict>
 {
     auto checked = m_checker.check(event);
     if (checked.verdict != event_verdict::next && checked.verdict != event_verdict::finish) {
         co_return checked.verdict;
     }
     m_lastProgress = std::chrono::steady_clock::now();
-    m_redials = 0;
-    auto next = attempt_event();
-    next.step = checked.verdict == event_verdict::finish ? attempt_step::finished : attempt_step::piece;
-    next.text = std::move(checked.text);
-    next.finishReason = std::move(checked.finishReason);
-    next.usage = checked.usage;
+    m_reconnects = 0;
+    auto forwarded = attempt_event();
+    forwarded.step = checked.verdict == event_verdict::finish ? attempt_step::finished : attempt_step::piece;
+    forwarded.text = std::move(checked.text);
+    forwarded.finishReason = std::move(checked.finishReason);
+    forwarded.usage = checked.usage;
     const auto verdict = checked.verdict;
-    co_await emit(std::move(next));
-    // Waiting for a slow caller is no silence of the engine.
+    co_await emit(std::move(forwarded));
+    // The time spent waiting for a slow caller does not count as silence of the engine.
     m_lastProgress = std::chrono::steady_clock::now();
     co_return verdict;
 }
 
-auto engine_attempt::finishConnection(std::shared_ptr<http_connection> connection, sse_reader &reader)
+auto engine_attempt::drainConnection(std::shared_ptr<http_connection> connection, sse_reader &reader)
     -> asio::awaitable<void>
 {
     auto ignored = last_reason();
-    auto ended = false;
-    while (!ended) {
-        const auto part = co_await connection->readPart(END_MARKER_LIMIT, ignored);
+    auto bodyEnded = false;
+    while (!bodyEnded) {
+        const auto part = co_await connection->readPart(END_MARKER_TIMEOUT, ignored);
         if (!part) {
             break;
         }
-        ended = part->empty();
-        const auto rest = reader.feed(*part);
-        const auto ours =
-            std::ranges::all_of(rest, [&](const sse_event &event) { return belongs(m_checker.check(event).verdict); });
-        if (!ours) {
+        bodyEnded = part->empty();
+        const auto events = reader.feed(*part);
+        const auto allValid = std::ranges::all_of(
+            events, [&](const sse_event &event) { return keepsStreamValid(m_checker.check(event).verdict); });
+        if (!allValid) {
             connection->interrupt();
             break;
         }
@@ -281,26 +281,27 @@
     m_stopped = m_stopped || closed;
 }
 
-auto engine_attempt::silenceLimit() const -> duration
+auto engine_attempt::nextReadTimeout() const -> duration
 {
-    const auto patience = m_limits.redialAfter * (1U << std::min(m_redials, REDIALS_WITHOUT_PROGRESS));
-    const auto whole = m_checker.accepted() == 0 ? m_limits.firstEvent : m_limits.betweenEvents;
-    const auto left = m_lastProgress + whole - std::chrono::steady_clock::now();
-    return std::max(duration(std::chrono::milliseconds(1)), std::min<duration>(patience, left));
+    const auto reconnectTimeout =
+        m_limits.reconnectAfter * (1U << std::min(m_reconnects, MAX_RECONNECTS_WITHOUT_PROGRESS));
+    const auto silenceLimit = m_checker.accepted() == 0 ? m_limits.firstEvent : m_limits.betweenEvents;
+    const auto remaining = m_lastProgress + silenceLimit - std::chrono::steady_clock::now();
+    return std::max(duration(std::chrono::milliseconds(1)), std::min<duration>(reconnectTimeout, remaining));
 }
 
 auto engine_attempt::mayResume() const -> bool
 {
-    const auto whole = m_checker.accepted() == 0 ? m_limits.firstEvent : m_limits.betweenEvents;
-    const auto inTime = std::chrono::steady_clock::now() < m_lastProgress + whole;
-    return !m_stopped && inTime && m_redials < REDIALS_WITHOUT_PROGRESS;
+    const auto silenceLimit = m_checker.accepted() == 0 ? m_limits.firstEvent : m_limits.betweenEvents;
+    const auto withinLimit = std::chrono::steady_clock::now() < m_lastProgress + silenceLimit;
+    return !m_stopped && withinLimit && m_reconnects < MAX_RECONNECTS_WITHOUT_PROGRESS;
 }
 
 auto cancelAtEngine(connection_pool &connections, std::string address, std::string attemptId, duration limit)
     -> asio::awaitable<bool>
 {
     auto ignored = last_reason();
-    // A fresh connection: the attempt's own may be the one that went silent.
+    // Uses a new connection, because the attempt's connection may be the one that does not respond.
     const auto executor = co_await asio::this_coro::executor;
     const auto connection = std::make_shared<http_connection>(executor, address);
     if (!co_await connection->connect(limit, ignored)) {
@@ -310,7 +311,7 @@
     if (!co_await connection->send(request, limit, ignored) || !co_await connection->readHead(limit, ignored)) {
         co_return false;
     }
-    const auto rest = co_await connection->readRest(REFUSAL_BODY_BYTES, limit, ignored);
+    const auto rest = co_await connection->readRest(MAX_REFUSAL_BODY_BYTES, limit, ignored);
     if (rest) {
         connections.giveBack(connection);
     }
--- a/src/call/event_checker.cpp
+++ b/src/call/event_checker.cpp
@@ -12,7 +12,8 @@
 
 constexpr auto END_MARKER = std::string_view("[DONE]");
 
-/// The sequence in `ID:SEQ`, or nothing where the event is of another request or malformed.
+/// Parses the sequence number of an event id `REQUEST_ID:SEQUENCE`. Returns nothing if the id is malformed or belongs
+/// to another request.
 auto sequenceOf(std::string_view id, std::string_view requestId) -> std::optional<std::uint64_t>
 {
     if (!id.starts_with(requestId) || id.size() <= requestId.size() || id[requestId.size()] != ':') {
@@ -51,15 +52,15 @@
         result.verdict = event_verdict::crossed;
         return result;
     }
-    if (*sequence != m_next) {
-        result.verdict = *sequence < m_next ? event_verdict::repeated : event_verdict::gap;
+    if (*sequence != m_nextSequence) {
+        result.verdict = *sequence < m_nextSequence ? event_verdict::repeated : event_verdict::gap;
         return result;
     }
-    result.verdict = readBody(event.data, result);
+    result.verdict = parseBody(event.data, result);
     const auto accepted = result.verdict == event_verdict::next || result.verdict == event_verdict::finish
         || result.verdict == event_verdict::done;
     if (accepted) {
-        ++m_next;
+        ++m_nextSequence;
         m_finished = m_finished || result.verdict == event_verdict::finish;
     }
     return result;
@@ -67,12 +68,12 @@
 
 auto event_checker::lastEventId() const -> std::string
 {
-    return m_next == 0 ? std::string() : m_requestId + ':' + std::to_string(m_next - 1);
+    return m_nextSequence == 0 ? std::string() : m_requestId + ':' + std::to_string(m_nextSequence - 1);
 }
 
 auto event_checker::accepted() const -> std::uint64_t
 {
-    return m_next;
+    return m_nextSequence;
 }
 
 auto event_checker::finished() const -> bool
@@ -80,7 +81,7 @@
     return m_finished;
 }
 
-auto event_checker::readBody(const std::string &data, checked_event &result) const -> event_verdict
+auto event_checker::parseBody(const std::string &data, checked_event &result) const -> event_verdict
 {
     if (data == END_MARKER) {
         return m_finished ? event_verdict::done : event_verdict::malformed;
--- a/src/call/hedge_policy.cpp
+++ b/src/call/hedge_policy.cpp
@@ -11,7 +11,7 @@
 constexpr auto SMALLEST_SECONDS = 0.0005;
 constexpr auto BINS_PER_DOUBLING = 8.0;
 
-/// Upper edge of a bin, so that a hedge starts late rather than early.
+/// Upper edge of \p bin in seconds. The upper edge is used so that a hedge starts late rather than early.
 auto upperEdge(std::size_t bin) -> double
 {
     return SMALLEST_SECONDS * std::exp2((static_cast<double>(bin) + 1) / BINS_PER_DOUBLING);
@@ -34,13 +34,13 @@
 auto hedge_policy::onCall() -> void
 {
     const auto lock = std::lock_guard(m_mutex);
-    m_tokens = std::min(BURST, m_tokens + m_fraction);
+    m_available = std::min(MAX_SAVED_HEDGES, m_available + m_fraction);
 }
 
 auto hedge_policy::observe(double seconds) -> void
 {
     const auto lock = std::lock_guard(m_mutex);
-    if (m_current.total >= WINDOW) {
+    if (m_current.total >= HALF_WINDOW_OBSERVATIONS) {
         m_previous = m_current;
         m_current = {};
     }
@@ -52,15 +52,15 @@
 {
     const auto lock = std::lock_guard(m_mutex);
     const auto total = m_current.total + m_previous.total;
-    if (total < ENOUGH) {
+    if (total < MIN_OBSERVATIONS) {
         return std::nullopt;
     }
-    const auto wanted = QUANTILE * total;
-    auto seen = 0.0;
+    const auto targetCount = DELAY_QUANTILE * total;
+    auto cumulativeCount = 0.0;
     auto bin = std::size_t(0);
     while (bin + 1 < histogram::BINS) {
-        seen += m_current.counts[bin] + m_previous.counts[bin];
-        if (seen >= wanted) {
+        cumulativeCount += m_current.counts[bin] + m_previous.counts[bin];
+        if (cumulativeCount >= targetCount) {
             break;
         }
         ++bin;
@@ -71,17 +71,17 @@
 auto hedge_policy::take() -> bool
 {
     const auto lock = std::lock_guard(m_mutex);
-    if (m_tokens < 1) {
+    if (m_available < 1) {
         return false;
     }
-    m_tokens -= 1;
+    m_available -= 1;
     return true;
 }
 
 auto hedge_policy::giveBack() -> void
 {
     const auto lock = std::lock_guard(m_mutex);
-    m_tokens = std::min(BURST, m_tokens + 1);
+    m_available = std::min(MAX_SAVED_HEDGES, m_available + 1);
 }
 
 } // namespace marjoramloom
--- a/src/call/http_connection.cpp
+++ b/src/call/http_connection.cpp
@@ -17,22 +17,22 @@
     : m_peer(std::move(peer))
     , m_socket(executor)
 {
-    adopt(executor);
+    bindExecutor(executor);
 }
 
-auto http_connection::adopt(const asio::any_io_executor &executor) -> void
+auto http_connection::bindExecutor(const asio::any_io_executor &executor) -> void
 {
-    m_limit = std::make_shared<step_limit>(executor, [this] { interrupt(); });
+    m_timeout = std::make_shared<operation_timeout>(executor, [this] { interrupt(); });
 }
 
-auto http_connection::release() -> void
+auto http_connection::unbindExecutor() -> void
 {
-    m_limit->detach();
+    m_timeout->detach();
 }
 
 http_connection::~http_connection()
 {
-    release();
+    unbindExecutor();
 }
 
 auto http_connection::connect(duration limit, last_reason &why) -> asio::awaitable<bool>
@@ -43,11 +43,11 @@
         co_return false;
     }
     auto error = error_code();
-    m_limit->arm(limit);
+    m_timeout->arm(limit);
     co_await m_socket.async_connect(*endpoint, asio::redirect_error(asio::use_awaitable, error));
-    m_limit->disarm();
-    if (error || m_limit->expired()) {
-        why.fail(failure_kind::notSent, "connect", m_peer, m_limit->expired() ? "timed out" : error.message());
+    m_timeout->disarm();
+    if (error || m_timeout->expired()) {
+        why.fail(failure_kind::notSent, "connect", m_peer, m_timeout->expired() ? "timed out" : error.message());
         co_return false;
     }
     m_socket.set_option(asio::ip::tcp::no_delay(true), error);
@@ -62,9 +62,9 @@
     m_anythingSent = true;
     m_expectsNoBody = message.method() == http::verb::head;
     m_parser.reset();
-    m_limit->arm(limit);
+    m_timeout->arm(limit);
     co_await http::async_write(m_socket, message, asio::redirect_error(asio::use_awaitable, error));
-    m_limit->disarm();
+    m_timeout->disarm();
     if (error) {
         fail("send request", error, why);
         co_return false;
@@ -75,7 +75,7 @@
 auto http_connection::readHead(duration limit, last_reason &why) -> asio::awaitable<bool>
 {
     auto error = error_code();
-    m_limit->arm(limit);
+    m_timeout->arm(limit);
     do {
         m_parser.emplace();
         m_parser->body_limit(boost::none);
@@ -83,7 +83,7 @@
         co_await http::async_read_header(m_socket, m_buffer, *m_parser,
                                          asio::redirect_error(asio::use_awaitable, error));
     } while (!error && http::to_status_class(m_parser->get().result()) == http::status_class::informational);
-    m_limit->disarm();
+    m_timeout->disarm();
     if (error) {
         fail("read answer head", error, why);
         co_return false;
@@ -94,7 +94,7 @@
 auto http_connection::readPart(duration limit, last_reason &why) -> asio::awaitable<std::optional<std::string_view>>
 {
     assert(m_parser && m_parser->is_header_done());
-    m_limit->arm(limit);
+    m_timeout->arm(limit);
     while (!m_parser->is_done()) {
         auto &body = m_parser->get().body();
         body.data = m_part.data();
@@ -104,38 +104,38 @@
         co_await http::async_read_some(m_socket, m_buffer, *m_parser, asio::redirect_error(asio::use_awaitable, error));
         const auto read = m_part.size() - m_parser->get().body().size;
         if (error && error != http::error::need_buffer) {
-            m_limit->disarm();
+            m_timeout->disarm();
             fail("read answer", error, why);
             co_return std::nullopt;
         }
         if (read > 0) {
-            m_limit->disarm();
+            m_timeout->disarm();
             co_return std::string_view(m_part.data(), read);
         }
     }
-    m_limit->disarm();
+    m_timeout->disarm();
     co_return std::string_view();
 }
 
 auto http_connection::readRest(std::size_t sizeLimit, duration limit, last_reason &why)
     -> asio::awaitable<std::optional<std::string>>
 {
-    const auto end = std::chrono::steady_clock::now() + limit;
-    auto whole = std::string();
+    const auto deadline = std::chrono::steady_clock::now() + limit;
+    auto content = std::string();
     while (true) {
-        const auto left = end - std::chrono::steady_clock::now();
-        const auto part = co_await readPart(left, why);
+        const auto remaining = deadline - std::chrono::steady_clock::now();
+        const auto part = co_await readPart(remaining, why);
         if (!part) {
             co_return std::nullopt;
         }
         if (part->empty()) {
-            co_return whole;
+            co_return content;
         }
-        if (whole.size() + part->size() > sizeLimit) {
+        if (content.size() + part->size() > sizeLimit) {
             interrupt();
             co_return why.fail(failure_kind::protocolViolation, "read answer", m_peer, "answer over the size limit");
         }
-        whole += *part;
+        content += *part;
     }
 }
 
@@ -145,7 +145,7 @@
     return m_parser->get().base();
 }
 
-auto http_connection::limitIdle(duration limit) -> void
+auto http_connection::setIdleLimit(duration limit) -> void
 {
     m_idleLimit = limit;
 }
@@ -178,7 +178,7 @@
     return m_socket.is_open() && m_parser && m_parser->is_done() && m_parser->keep_alive() && m_buffer.size() == 0;
 }
 
-auto http_connection::idleAndOpen() -> bool
+auto http_connection::isIdleAndOpen() -> bool
 {
     auto error = error_code();
     auto byte = char();
@@ -200,8 +200,8 @@
 
 auto http_connection::fail(std::string_view step, const error_code &error, last_reason &why) -> void
 {
-    why.fail(m_limit->expired() ? failure_kind::deadlineExceeded : failure_kind::unknownOutcome, step, m_peer,
-             m_limit->expired() ? "timed out" : error.message());
+    why.fail(m_timeout->expired() ? failure_kind::deadlineExceeded : failure_kind::unknownOutcome, step, m_peer,
+             m_timeout->expired() ? "timed out" : error.message());
     interrupt();
 }
 
--- a/src/call/load_watch.cpp
+++ b/src/call/load_watch.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr auto HTTP_VERSION = 11U;
-constexpr auto REPORT_BYTES = std::size_t(4096);
+constexpr auto MAX_REPORT_BYTES = std::size_t(4096);
 
 } // namespace
 
@@ -56,10 +56,10 @@
 {
     while (!m_stopped) {
         const auto now = std::chrono::steady_clock::now();
-        const auto [id, entry] = nextDue(now);
+        const auto [id, entry] = nextServerToPoll(now);
         if (entry) {
             entry->polling = true;
-            entry->due = now + m_settings.period;
+            entry->nextPollAt = now + m_settings.period;
             asio::co_spawn(m_executor, poll(shared_from_this(), id, entry->address), asio::detached);
         }
         auto ignored = boost::system::error_code();
@@ -68,16 +68,16 @@
     }
 }
 
-auto load_watch::nextDue(time_point now) -> std::pair<object_id, watch_entry *>
+auto load_watch::nextServerToPoll(time_point now) -> std::pair<object_id, watch_entry *>
 {
-    auto found = std::pair<object_id, watch_entry *>();
+    auto earliest = std::pair<object_id, watch_entry *>();
     for (auto &[id, entry] : m_servers) {
-        const auto earlier = !found.second || entry.due < found.second->due;
-        if (!entry.polling && entry.due <= now && earlier) {
-            found = { id, &entry };
+        const auto isEarlier = !earliest.second || entry.nextPollAt < earliest.second->nextPollAt;
+        if (!entry.polling && entry.nextPollAt <= now && isEarlier) {
+            earliest = { id, &entry };
         }
     }
-    return found;
+    return earliest;
 }
 
 auto load_watch::poll(std::shared_ptr<load_watch> /*self*/, object_id id, std::string address) -> asio::awaitable<void>
@@ -86,7 +86,7 @@
     const auto connection = co_await connectionFor(id, address, why);
     auto body = std::optional<std::string>();
     if (connection) {
-        body = co_await exchange(connection, why);
+        body = co_await requestReport(connection, why);
     }
     finishPoll(id, address, body, connection);
 }
@@ -96,7 +96,7 @@
 {
     auto &entry = m_servers[id];
     auto connection = std::exchange(entry.connection, nullptr);
-    if (connection && connection->idleAndOpen()) {
+    if (connection && connection->isIdleAndOpen()) {
         co_return connection;
     }
     connection = std::make_shared<http_connection>(m_executor, address);
@@ -104,7 +104,7 @@
     co_return opened ? connection : nullptr;
 }
 
-auto load_watch::exchange(std::shared_ptr<http_connection> connection, last_reason &why)
+auto load_watch::requestReport(std::shared_ptr<http_connection> connection, last_reason &why)
     -> asio::awaitable<std::optional<std::string>>
 {
     auto request = http_connection::request(http::verb::get, "/v1/load", HTTP_VERSION);
@@ -117,7 +117,7 @@
     if (!answered) {
         co_return std::nullopt;
     }
-    co_return co_await connection->readRest(REPORT_BYTES, m_settings.limit, why);
+    co_return co_await connection->readRest(MAX_REPORT_BYTES, m_settings.limit, why);
 }
 
 auto load_watch::finishPoll(object_id id, const std::string &address, const std::optional<std::string> &body,
@@ -131,7 +131,7 @@
     entry.polling = false;
     if (!body) {
         ++entry.failures;
-        m_callbacks.onSilent(id, entry.failures);
+        m_callbacks.onPollFailed(id, entry.failures);
         return;
     }
     entry.failures = 0;
--- a/src/call/plain_call.cpp
+++ b/src/call/plain_call.cpp
@@ -38,7 +38,7 @@
     return message;
 }
 
-/// Sends \p message and reads the answer's head, whose limit is \p headLimit.
+/// Sends \p message and reads the head of the answer. \p headLimit applies to each of the two steps.
 auto exchangeHead(http_connection &connection, const http_connection::request &message, duration headLimit,
                   last_reason &why) -> asio::awaitable<bool>
 {
@@ -49,7 +49,7 @@
     co_return co_await connection.readHead(headLimit, why);
 }
 
-/// Reads the answer of \p connection after its head.
+/// Reads the body of the answer from \p connection and returns \p result with it.
 auto readAnswer(http_connection &connection, const plain_limits &limits, plain_result result)
     -> asio::awaitable<plain_result>
 {
@@ -82,9 +82,10 @@
     auto connection = request.repeatable ? connections.take(address, executor) : nullptr;
     auto answered = false;
     if (connection) {
-        // Something between the two ends may have lost track of a used connection.
+        // A NAT or firewall may have dropped the state of a reused connection, so it gets a shorter timeout and is
+        // replaced by a new one on failure.
         result.state = call_state::unknownOutcome;
-        answered = co_await exchangeHead(*connection, message, limits.redialAfter, result.reason);
+        answered = co_await exchangeHead(*connection, message, limits.reconnectAfter, result.reason);
     }
     if (!answered) {
         connection = std::make_shared<http_connection>(executor, address);
@@ -110,20 +111,20 @@
 auto makePlainTicket(const call_environment &environment, const plain_work &work, ticket_id id,
                      std::vector<object_id> excluded) -> ticket
 {
-    auto made = ticket();
-    made.id = id;
-    made.origin = { environment.dataCentre, work.target.id };
-    made.account = work.account;
-    made.profile = work.treatment.id;
-    made.length = work.treatment.length;
-    made.expectedCost = work.target.callCost;
-    made.submitted = std::chrono::steady_clock::now();
-    made.deadline = work.arrived + std::min(work.treatment.maxWait, work.treatment.timeout);
-    made.excluded = std::move(excluded);
-    return made;
+    auto newTicket = ticket();
+    newTicket.id = id;
+    newTicket.origin = { environment.dataCentre, work.target.id };
+    newTicket.account = work.account;
+    newTicket.profile = work.treatment.id;
+    newTicket.length = work.treatment.length;
+    newTicket.expectedCost = work.target.callCost;
+    newTicket.submitted = std::chrono::steady_clock::now();
+    newTicket.deadline = work.arrived + std::min(work.treatment.maxWait, work.treatment.timeout);
+    newTicket.excluded = std::move(excluded);
+    return newTicket;
 }
 
-auto absorbAttempt(plain_result &result, plain_result attempt) -> void
+auto mergeAttempt(plain_result &result, plain_result attempt) -> void
 {
     const auto mayHaveRun = result.state == call_state::unknownOutcome;
     attempt.attempts = result.attempts + 1;
--- a/src/call/retry_budget.cpp
+++ b/src/call/retry_budget.cpp
@@ -16,23 +16,23 @@
 auto retry_budget::onCall() -> void
 {
     const auto lock = std::lock_guard(m_mutex);
-    m_tokens = std::min(RESERVE, m_tokens + m_fraction);
+    m_available = std::min(MAX_SAVED_RETRIES, m_available + m_fraction);
 }
 
 auto retry_budget::take() -> bool
 {
     const auto lock = std::lock_guard(m_mutex);
-    if (m_tokens < 1) {
+    if (m_available < 1) {
         return false;
     }
-    m_tokens -= 1;
+    m_available -= 1;
     return true;
 }
 
 auto retry_budget::backoff(std::uint32_t retry) -> duration
 {
     constexpr auto doublings = 16U;
-    const auto ceiling = std::min(BACKOFF_LIMIT, BACKOFF_BASE * (1U << std::min(retry, doublings)));
+    const auto ceiling = std::min(MAX_BACKOFF, BACKOFF_BASE * (1U << std::min(retry, doublings)));
     const auto lock = std::lock_guard(m_mutex);
     return duration(boost::random::uniform_int_distribution<duration::rep>(0, ceiling.count())(m_random));
 }
--- a/src/call/start_gate.cpp
+++ b/src/call/start_gate.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr auto lookEvery = std::chrono::milliseconds(20);
-/// News that take longer are not to be had: what can be served goes on.
-constexpr auto longestWait = duration(std::chrono::seconds(5));
+constexpr auto pollInterval = std::chrono::milliseconds(20);
+/// Requests proceed after this wait, so that the router keeps serving if no update can be obtained.
+constexpr auto maxRefreshWait = duration(std::chrono::seconds(5));
 
 } // namespace
 
@@ -22,19 +22,19 @@
 {
 }
 
-auto start_gate::touch(time_point now) -> void
+auto start_gate::recordTick(time_point now) -> void
 {
     const auto current = now.time_since_epoch().count();
-    const auto before = m_touched.exchange(current);
-    if (before != 0 && duration(current - before) > PAUSE_LIMIT) {
+    const auto previous = m_lastTick.exchange(current);
+    if (previous != 0 && duration(current - previous) > MAX_TICK_GAP) {
         m_closedAt = current;
     }
 }
 
-auto start_gate::refreshed(time_point askedAt) -> void
+auto start_gate::markRefreshed(time_point requestedAt) -> void
 {
     auto closedAt = m_closedAt.load();
-    if (closedAt != 0 && askedAt.time_since_epoch().count() >= closedAt) {
+    if (closedAt != 0 && requestedAt.time_since_epoch().count() >= closedAt) {
         m_closedAt.compare_exchange_strong(closedAt, 0);
     }
 }
@@ -49,8 +49,8 @@
     if (m_leaving.read()->contains(server)) {
         return start_permission::leaving;
     }
-    const auto touched = m_touched.load();
-    const auto paused = touched != 0 && now.time_since_epoch() - duration(touched) > PAUSE_LIMIT;
+    const auto lastTick = m_lastTick.load();
+    const auto paused = lastTick != 0 && now.time_since_epoch() - duration(lastTick) > MAX_TICK_GAP;
     return paused || m_closedAt != 0 ? start_permission::unknown : start_permission::allowed;
 }
 
@@ -60,12 +60,12 @@
         co_return true;
     }
     auto now = std::chrono::steady_clock::now();
-    const auto end = now + longestWait;
+    const auto deadline = now + maxRefreshWait;
     auto permission = gate->permission(server, now);
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
-    while (permission == start_permission::unknown && now < end) {
+    while (permission == start_permission::unknown && now < deadline) {
         auto ignored = boost::system::error_code();
-        timer.expires_after(lookEvery);
+        timer.expires_after(pollInterval);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         now = std::chrono::steady_clock::now();
         permission = gate->permission(server, now);
--- a/src/call/stop_calendar.cpp
+++ b/src/call/stop_calendar.cpp
@@ -19,15 +19,15 @@
             entry = std::move(known->second);
         }
         if (entry.address != server.address) {
-            entry.listedSinceMs.reset();
+            entry.leavingSinceMs.reset();
         }
         entry.address = server.address;
-        entry.windows.clear();
+        entry.stopWindows.clear();
     }
     for (const auto &[name, stop] : accepted.plannedStops) {
         const auto server = accepted.backendServers.find(stop.backendServer);
         if (server != accepted.backendServers.end()) {
-            next[server->second.id].windows.push_back({ stop.atUnixMs, stop.untilUnixMs });
+            next[server->second.id].stopWindows.push_back({ stop.atUnixMs, stop.untilUnixMs });
         }
     }
     m_servers = std::move(next);
@@ -43,9 +43,9 @@
     }
     for (auto &[id, entry] : m_servers) {
         if (!leaving.contains(entry.address)) {
-            entry.listedSinceMs.reset();
-        } else if (!entry.listedSinceMs) {
-            entry.listedSinceMs = nowMs;
+            entry.leavingSinceMs.reset();
+        } else if (!entry.leavingSinceMs) {
+            entry.leavingSinceMs = nowMs;
         }
     }
 }
@@ -56,16 +56,16 @@
     if (found == m_servers.end()) {
         return false;
     }
-    auto &heard = found->second.heard;
-    if (heard && heard->notice.unixMs >= notice.unixMs) {
+    auto &received = found->second.received;
+    if (received && received->notice.unixMs >= notice.unixMs) {
         return false;
     }
-    const auto news =
-        !heard || heard->notice.state != notice.state || nowMs - heard->heardMs > m_settings.noticeHold.count() / 2;
-    if (news) {
-        heard = heard_notice{ notice, nowMs };
+    const auto changed = !received || received->notice.state != notice.state
+        || nowMs - received->receivedMs > m_settings.noticeValidity.count() / 2;
+    if (changed) {
+        received = received_notice{ notice, nowMs };
     }
-    return news;
+    return changed;
 }
 
 auto stop_calendar::phaseAt(object_id server, std::int64_t nowMs) const -> stop_phase
@@ -77,20 +77,20 @@
 auto stop_calendar::phaseOf(const server_entry &entry, std::int64_t nowMs) const -> stop_phase
 {
     auto phase = stop_phase::open;
-    for (const auto &window : entry.windows) {
-        if (nowMs >= window.untilMs || nowMs < window.atMs - m_settings.noWorkBefore.count()) {
+    for (const auto &window : entry.stopWindows) {
+        if (nowMs >= window.untilMs || nowMs < window.atMs - m_settings.noNewWorkBefore.count()) {
             continue;
         }
         phase = std::max(
             phase, nowMs < window.atMs - m_settings.moveBefore.count() ? stop_phase::noNewWork : stop_phase::moving);
     }
-    if (entry.listedSinceMs) {
-        const auto grace = nowMs - *entry.listedSinceMs < m_settings.listedGrace.count();
-        phase = std::max(phase, grace ? stop_phase::noNewWork : stop_phase::moving);
+    if (entry.leavingSinceMs) {
+        const auto inGracePeriod = nowMs - *entry.leavingSinceMs < m_settings.listedGrace.count();
+        phase = std::max(phase, inGracePeriod ? stop_phase::noNewWork : stop_phase::moving);
     }
-    const auto &heard = entry.heard;
-    if (heard && heard->notice.state == server_state::leaving
-        && nowMs - heard->heardMs < m_settings.noticeHold.count()) {
+    const auto &received = entry.received;
+    if (received && received->notice.state == server_state::leaving
+        && nowMs - received->receivedMs < m_settings.noticeValidity.count()) {
         phase = std::max(phase, stop_phase::noNewWork);
     }
     return phase;
@@ -108,19 +108,19 @@
     return stopping;
 }
 
-auto stop_calendar::changesOf(const server_entry &entry) const -> std::set<std::int64_t>
+auto stop_calendar::phaseChangeTimes(const server_entry &entry) const -> std::set<std::int64_t>
 {
     auto changes = std::set<std::int64_t>();
-    for (const auto &window : entry.windows) {
-        changes.insert(window.atMs - m_settings.noWorkBefore.count());
+    for (const auto &window : entry.stopWindows) {
+        changes.insert(window.atMs - m_settings.noNewWorkBefore.count());
         changes.insert(window.atMs - m_settings.moveBefore.count());
         changes.insert(window.untilMs);
     }
-    if (entry.listedSinceMs) {
-        changes.insert(*entry.listedSinceMs + m_settings.listedGrace.count());
+    if (entry.leavingSinceMs) {
+        changes.insert(*entry.leavingSinceMs + m_settings.listedGrace.count());
     }
-    if (entry.heard) {
-        changes.insert(entry.heard->heardMs + m_settings.noticeHold.count());
+    if (entry.received) {
+        changes.insert(entry.received->receivedMs + m_settings.noticeValidity.count());
     }
     return changes;
 }
@@ -129,7 +129,7 @@
 {
     auto next = std::optional<std::int64_t>();
     for (const auto &[id, entry] : m_servers) {
-        const auto changes = changesOf(entry);
+        const auto changes = phaseChangeTimes(entry);
         const auto after = changes.upper_bound(nowMs);
         if (after != changes.end() && (!next || *after < *next)) {
             next = *after;
@@ -140,13 +140,13 @@
 
 auto stop_calendar::notices(std::int64_t nowMs) const -> std::vector<server_notice>
 {
-    auto holding = std::vector<server_notice>();
+    auto validNotices = std::vector<server_notice>();
     for (const auto &[id, entry] : m_servers) {
-        if (entry.heard && nowMs - entry.heard->heardMs < m_settings.noticeHold.count()) {
-            holding.push_back(entry.heard->notice);
+        if (entry.received && nowMs - entry.received->receivedMs < m_settings.noticeValidity.count()) {
+            validNotices.push_back(entry.received->notice);
         }
     }
-    return holding;
+    return validNotices;
 }
 
 } // namespace marjoramloom
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -236,7 +236,7 @@
                                .sentAt = system_clock_source().now(),
                                .gotEvent = false };
     m_firstEvent = {};
-    const auto listening = m_control->listen([connection] { connection->interrupt(); });
+    const auto listening = m_control->addListener([connection] { connection->interrupt(); });
     if (m_sends++ == 0) {
         if (m_route.carriesPrompt) {
             m_state.accounts.noteStarted(m_accountId, cost(), system_clock_source().now());
@@ -248,7 +248,7 @@
             m_state.noteRead(server_loads::incarnationId(*chosen.server), m_request.prompt));
     }
     auto end = co_await exchangeWith(sending);
-    m_control->forget(listening);
+    m_control->removeListener(listening);
     if (m_control->cancelled() && end != send_end::answered) {
         connection->interrupt();
         co_return send_end::callerLeft;
@@ -274,9 +274,9 @@
     }
     auto fresh = std::make_shared<http_connection>(executor, address);
     const auto limit = std::min<duration>(connectLimit, timeLeft());
-    const auto listening = m_control->listen([fresh] { fresh->interrupt(); });
+    const auto listening = m_control->addListener([fresh] { fresh->interrupt(); });
     const auto connected = co_await fresh->connect(limit, why);
-    m_control->forget(listening);
+    m_control->removeListener(listening);
     co_return connected ? fresh : nullptr;
 }
 
@@ -330,7 +330,7 @@
     }
     const auto &head = sending.connection->head();
     const auto idle = platform::idleTimeout(head);
-    sending.connection->limitIdle(idle ? duration(*idle) - idleMargin : duration(unnamedIdleLimit));
+    sending.connection->setIdleLimit(idle ? duration(*idle) - idleMargin : duration(unnamedIdleLimit));
     if (platform::saysNotRun(head)) {
         if (head.result() == http::status::misdirected_request) {
             m_state.servers.noteMisdirected(server);
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -69,10 +69,10 @@
 auto gateway_state::idleLimit(const routed_service &service) const -> std::size_t
 {
     if (service.connectionLimit == 0) {
-        return connection_pool::IDLE_PER_PEER;
+        return connection_pool::MAX_IDLE_PER_PEER;
     }
     const auto part = service.connectionLimit / (2 * roster.size());
-    return std::clamp<std::size_t>(part, 1, connection_pool::IDLE_PER_PEER);
+    return std::clamp<std::size_t>(part, 1, connection_pool::MAX_IDLE_PER_PEER);
 }
 
 auto gateway_state::repeatsOf(const std::string &service) -> gateway_retry_budget &
--- a/src/router/model_handler.cpp
+++ b/src/router/model_handler.cpp
@@ -63,7 +63,7 @@
     request.hintTokens = static_cast<double>(body.maxTokens());
     const auto &weights = m_context.calls.weights;
     request.expectedCost = admitted.treatment->expectedTokens * weights.generated
-        + static_cast<double>(body.guessedPromptTokens()) * weights.prompt;
+        + static_cast<double>(body.estimatedPromptTokens()) * weights.prompt;
     request.arrived = system_clock_source().now();
     return request;
 }
--- a/src/router/server_watch.cpp
+++ b/src/router/server_watch.cpp
@@ -47,7 +47,7 @@
     handlers.onLeaving = [this](object_id server) {
         noteLeaving(server);
     };
-    handlers.onSilent = [](object_id, std::uint32_t) {
+    handlers.onPollFailed = [](object_id, std::uint32_t) {
     };
     m_loads = std::make_shared<load_watch>(m_strand, load_watch_settings(), std::move(handlers));
     m_loads->start();
@@ -73,7 +73,7 @@
             m_calendar.setInstances(snapshot->instances, unixMsNow());
             apply();
         }
-        m_gate.refreshed(askedAt);
+        m_gate.markRefreshed(askedAt);
         timer.expires_after(listPeriod);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
@@ -180,7 +180,7 @@
 
 auto server_watch::tick() -> void
 {
-    m_gate.touch(system_clock_source().now());
+    m_gate.recordTick(system_clock_source().now());
     if (m_view) {
         apply();
         watchLoads();
--- a/src/router/ticket_queue.cpp
+++ b/src/router/ticket_queue.cpp
@@ -48,14 +48,14 @@
 {
     const auto id = waiting.id;
     auto reason = std::make_shared<last_reason>();
-    const auto listening = control->listen([this, id, control = control.get()] {
+    const auto listening = control->addListener([this, id, control = control.get()] {
         if (control->cancelled()) {
             asio::post(m_strand, [this, id] { cancelOnStrand(id); });
         }
     });
     auto waitForGrant = acquireOnStrand(std::move(waiting), control, reason);
     auto granted = co_await asio::co_spawn(m_strand, std::move(waitForGrant), asio::use_awaitable);
-    control->forget(listening);
+    control->removeListener(listening);
     if (!granted) {
         why = *reason;
     }
--- a/tests/process/call/call_fleet.cpp
+++ b/tests/process/call/call_fleet.cpp
@@ -4,7 +4,7 @@
 
 namespace marjoramloom::test {
 
-auto oneCentre(int engines, int routers, double tokenMs) -> fleet_plan
+auto oneDataCentre(int engines, int routers, double tokenMs) -> fleet_plan
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
@@ -14,43 +14,43 @@
     return plan;
 }
 
-parallel_calls::parallel_calls(fleet &all)
-    : m_fleet(all)
+parallel_calls::parallel_calls(fleet &testFleet)
+    : m_fleet(testFleet)
 {
 }
 
 auto parallel_calls::start(const router_handle &router, const std::string &prompt, int tokens, bool stream,
                            const std::string &model) -> void
 {
-    auto made = std::make_unique<running_call>();
-    made->prompt = prompt + " tokens=" + std::to_string(tokens);
-    made->stream = stream;
-    auto *call = made.get();
+    auto newCall = std::make_unique<running_call>();
+    newCall->prompt = prompt + " tokens=" + std::to_string(tokens);
+    newCall->stream = stream;
+    auto *call = newCall.get();
     call->thread = std::thread([this, call, &router, model] {
         call->answer = m_fleet.chat(router, "alpha", call->prompt, call->stream, model);
     });
-    m_calls.push_back(std::move(made));
+    m_calls.push_back(std::move(newCall));
 }
 
 auto parallel_calls::finish() -> std::size_t
 {
-    auto lost = std::size_t(0);
+    auto incomplete = std::size_t(0);
     for (auto &call : m_calls) {
         call->thread.join();
         const auto &answer = call->answer;
         const auto text = call->stream ? streamedText(answer.body) : answerText(answer);
         const auto ended = answer.whole && (!call->stream || streamEnded(answer.body));
-        lost += ended && text == expectedText(call->prompt) ? 0 : 1;
+        incomplete += ended && text == expectedText(call->prompt) ? 0 : 1;
         BOOST_TEST(ended, call->prompt + ": status " + std::to_string(answer.status) + " " + answer.error);
         BOOST_TEST(text == expectedText(call->prompt));
     }
     m_calls.clear();
-    return lost;
+    return incomplete;
 }
 
-auto engineOf(fleet &all, const std::string &text) -> standin *
+auto findEngineByPrompt(fleet &testFleet, const std::string &text) -> standin *
 {
-    for (const auto &engine : all.engines()) {
+    for (const auto &engine : testFleet.engines()) {
         if (!engine->process().running()) {
             continue;
         }
@@ -64,7 +64,7 @@
     return nullptr;
 }
 
-auto startedAt(standin &engine) -> std::size_t
+auto startedRequests(standin &engine) -> std::size_t
 {
     auto count = std::size_t(0);
     for (const auto &entry : engine.record()) {
--- a/tests/process/call/call_fleet.h
+++ b/tests/process/call/call_fleet.h
@@ -8,23 +8,25 @@
 
 namespace marjoramloom::test {
 
-/// One data centre with \p engines engines, every other of which serves "chat", and \p routers routers.
-auto oneCentre(int engines, int routers, double tokenMs) -> fleet_plan;
+/// Plan of one data centre with \p routers routers and \p engines engines, every second of which serves "chat".
+auto oneDataCentre(int engines, int routers, double tokenMs) -> fleet_plan;
 
-/// Calls that run at the same time, each on a thread of its own.
+/// Runs chat calls in parallel, each on its own thread.
 class parallel_calls
 {
 public:
-    explicit parallel_calls(fleet &all);
+    explicit parallel_calls(fleet &testFleet);
 
-    /// Starts a streamed or plain chat; its prompt asks for \p tokens tokens.
+    /// Starts a chat with or without a streamed answer. Its prompt asks the stand-in engine for \p tokens tokens.
     auto start(const router_handle &router, const std::string &prompt, int tokens, bool stream,
                const std::string &model = "chat") -> void;
 
-    /// Waits for all, and checks each answer byte for byte. Returns how many were not whole.
+    /// Waits for all calls and checks that each answer is complete and exact. Returns the number of answers that are
+    /// not.
     auto finish() -> std::size_t;
 
 private:
+    /// A call, the thread that makes it, and its answer.
     struct running_call
     {
         std::string prompt;
@@ -37,10 +39,10 @@
     std::vector<std::unique_ptr<running_call>> m_calls;
 };
 
-/// The running engine of the request whose prompt holds \p text, or null.
-auto engineOf(fleet &all, const std::string &text) -> standin *;
+/// Returns the live engine that received the request whose body contains \p text, or null.
+auto findEngineByPrompt(fleet &testFleet, const std::string &text) -> standin *;
 
-/// How many requests \p engine has started.
-auto startedAt(standin &engine) -> std::size_t;
+/// Number of requests that \p engine has started.
+auto startedRequests(standin &engine) -> std::size_t;
 
 } // namespace marjoramloom::test
--- a/tests/process/call/stop_test.cpp
+++ b/tests/process/call/stop_test.cpp
@@ -7,37 +7,38 @@
 
 namespace {
 
-constexpr auto noNewWorkAfter = std::chrono::seconds(3);
+/// Time in which all routers must stop sending work to a leaving server.
+constexpr auto propagationTime = std::chrono::seconds(3);
 
-/// Sends chats through every router for \p period.
-auto keepAsking(fleet &all, std::chrono::milliseconds period, const std::string &prompt) -> void
+/// Sends chats through every router for \p period and checks their answers.
+auto sendChatsFor(fleet &testFleet, std::chrono::milliseconds period, const std::string &prompt) -> void
 {
     const auto until = std::chrono::steady_clock::now() + period;
     for (auto round = 0; std::chrono::steady_clock::now() < until; ++round) {
-        auto calls = parallel_calls(all);
-        for (const auto &router : all.routers()) {
+        auto calls = parallel_calls(testFleet);
+        for (const auto &router : testFleet.routers()) {
             calls.start(router, prompt + std::to_string(round) + router.name, 5, true);
         }
         calls.finish();
     }
 }
 
-/// Requests that \p engine runs now.
-auto runningAt(standin &engine) -> std::size_t
+/// Number of requests that \p engine runs now. Its record has one entry when a request starts and one when it ends.
+auto runningRequests(standin &engine) -> std::size_t
 {
     const auto entries = engine.record().size();
-    const auto started = startedAt(engine);
+    const auto started = startedRequests(engine);
     return started - (entries - started);
 }
 
-/// Checks that \p engine starts nothing more, three seconds after it was said to leave, while callers go on.
-auto checkNoNewWork(fleet &all, standin &engine) -> void
+/// Checks that a leaving \p engine starts no request after propagationTime, while callers continue to send requests.
+auto checkNoNewWork(fleet &testFleet, standin &engine) -> void
 {
-    BOOST_REQUIRE(startedAt(engine) > 0);
-    keepAsking(all, noNewWorkAfter, "while the news travels ");
-    const auto before = startedAt(engine);
-    keepAsking(all, std::chrono::seconds(2), "after that ");
-    BOOST_TEST(startedAt(engine) == before);
+    BOOST_REQUIRE(startedRequests(engine) > 0);
+    sendChatsFor(testFleet, propagationTime, "while the news travels ");
+    const auto before = startedRequests(engine);
+    sendChatsFor(testFleet, std::chrono::seconds(2), "after that ");
+    BOOST_TEST(startedRequests(engine) == before);
 }
 
 } // namespace
@@ -46,62 +47,68 @@
 
 BOOST_AUTO_TEST_CASE(a_listed_leaving_server_gets_no_new_work)
 {
-    auto all = fleet(oneCentre(4, 2, 1));
-    auto &engine = *all.engines().front();
-    keepAsking(all, std::chrono::milliseconds(500), "before ");
-    all.listInstances({ engine.name() });
-    checkNoNewWork(all, engine);
+    auto testFleet = fleet(oneDataCentre(4, 2, 1));
+    auto &engine = *testFleet.engines().front();
+    sendChatsFor(testFleet, std::chrono::milliseconds(500), "before ");
+    testFleet.listInstances({ engine.name() });
+    checkNoNewWork(testFleet, engine);
 }
 
-BOOST_AUTO_TEST_CASE(a_servers_own_word_reaches_all_routers_while_the_platform_is_down)
+BOOST_AUTO_TEST_CASE(a_leaving_response_reaches_all_routers_without_the_platform)
 {
-    auto all = fleet(oneCentre(4, 2, 1));
-    auto &engine = *all.engines().front();
-    keepAsking(all, std::chrono::milliseconds(500), "before ");
-    all.platform().setFaults(R"([{"kind":"outage"}])");
-    // Calls are refused as leaving once only; after that the word alone keeps work away.
+    auto testFleet = fleet(oneDataCentre(4, 2, 1));
+    auto &engine = *testFleet.engines().front();
+    sendChatsFor(testFleet, std::chrono::milliseconds(500), "before ");
+    testFleet.platform().setFaults(R"([{"kind":"outage"}])");
+    // The engine refuses a call as leaving only once; after that, only the notice between routers keeps work away.
     engine.setFaults(R"([{"kind":"leaving","count":1,"method":"POST"}])");
-    checkNoNewWork(all, engine);
+    checkNoNewWork(testFleet, engine);
 }
 
+/// The server begins to leave while the router is stopped by SIGSTOP, so the router's list of leaving servers is
+/// outdated when it continues.
 BOOST_AUTO_TEST_CASE(a_router_that_was_paused_sends_a_leaving_server_no_new_work)
 {
-    auto all = fleet(oneCentre(4, 2, 1));
-    auto &engine = *all.engines().front();
-    keepAsking(all, std::chrono::milliseconds(500), "before ");
-    for (auto &paused : all.routers()) {
+    auto testFleet = fleet(oneDataCentre(4, 2, 1));
+    auto &engine = *testFleet.engines().front();
+    sendChatsFor(testFleet, std::chrono::milliseconds(500), "before ");
+    for (auto &paused : testFleet.routers()) {
         paused.process->signal(SIGSTOP);
-        all.listInstances({ engine.name() });
-        std::this_thread::sleep_for(noNewWorkAfter + std::chrono::seconds(1));
-        const auto before = startedAt(engine);
-        auto calls = parallel_calls(all);
+        testFleet.listInstances({ engine.name() });
+        std::this_thread::sleep_for(propagationTime + std::chrono::seconds(1));
+        const auto before = startedRequests(engine);
+        auto calls = parallel_calls(testFleet);
         for (auto call = 0; call < 8; ++call) {
             calls.start(paused, "to the paused router " + std::to_string(call), 5, true);
         }
         paused.process->signal(SIGCONT);
         calls.finish();
-        BOOST_TEST(startedAt(engine) == before, paused.name);
-        all.listInstances();
+        BOOST_TEST(startedRequests(engine) == before, paused.name);
+        testFleet.listInstances();
         std::this_thread::sleep_for(std::chrono::seconds(2));
     }
 }
 
-BOOST_AUTO_TEST_CASE(two_planned_stops_at_once_cut_off_no_stream)
+BOOST_AUTO_TEST_CASE(two_simultaneous_planned_stops_interrupt_no_stream)
 {
-    auto all = fleet(oneCentre(6, 1, 20));
-    auto calls = parallel_calls(all);
+    auto testFleet = fleet(oneDataCentre(6, 1, 20));
+    auto calls = parallel_calls(testFleet);
     for (auto call = 0; call < 6; ++call) {
-        calls.start(all.routers().front(), "long stream " + std::to_string(call), 500, call % 2 == 0);
+        calls.start(testFleet.routers().front(), "long stream " + std::to_string(call), 500, call % 2 == 0);
     }
-    auto &first = *all.engines()[0];
-    auto &second = *all.engines()[2];
-    BOOST_REQUIRE(waitUntil(10'000, [&] { return startedAt(first) > 0 && startedAt(second) > 0; }));
-    BOOST_TEST(all.command(all.routers().front(), { "stop", first.name(), "--at", "+6s", "--until", "+10m" }) == 0);
-    BOOST_TEST(all.command(all.routers().front(), { "stop", second.name(), "--at", "+6s", "--until", "+10m" }) == 0);
+    auto &first = *testFleet.engines()[0];
+    auto &second = *testFleet.engines()[2];
+    BOOST_REQUIRE(waitUntil(10'000, [&] { return startedRequests(first) > 0 && startedRequests(second) > 0; }));
+    BOOST_TEST(
+        testFleet.command(testFleet.routers().front(), { "stop", first.name(), "--at", "+6s", "--until", "+10m" })
+        == 0);
+    BOOST_TEST(
+        testFleet.command(testFleet.routers().front(), { "stop", second.name(), "--at", "+6s", "--until", "+10m" })
+        == 0);
     std::this_thread::sleep_for(std::chrono::milliseconds(6'500));
-    // Moved before the stop, not rescued after it.
-    BOOST_TEST(runningAt(first) == 0U);
-    BOOST_TEST(runningAt(second) == 0U);
+    // The streams were moved before the stop, not recovered after it.
+    BOOST_TEST(runningRequests(first) == 0U);
+    BOOST_TEST(runningRequests(second) == 0U);
     first.process().signal(SIGKILL);
     second.process().signal(SIGKILL);
     BOOST_TEST(calls.finish() == 0U);
@@ -109,15 +116,15 @@
 
 BOOST_AUTO_TEST_CASE(a_router_told_to_stop_finishes_running_and_waiting_requests)
 {
-    auto plan = oneCentre(2, 1, 10);
+    auto plan = oneDataCentre(2, 1, 10);
     plan.slots = 1;
-    auto all = fleet(plan);
-    auto &router = all.routers().front();
-    auto calls = parallel_calls(all);
+    auto testFleet = fleet(plan);
+    auto &router = testFleet.routers().front();
+    auto calls = parallel_calls(testFleet);
     for (auto call = 0; call < 5; ++call) {
         calls.start(router, "stopping router " + std::to_string(call), 60, call % 2 == 0);
     }
-    BOOST_REQUIRE(waitUntil(10'000, [&] { return engineOf(all, "stopping router") != nullptr; }));
+    BOOST_REQUIRE(waitUntil(10'000, [&] { return findEngineByPrompt(testFleet, "stopping router") != nullptr; }));
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     router.process->signal(SIGTERM);
     BOOST_TEST(calls.finish() == 0U);
--- a/tests/unit/call/call_bench.cpp
+++ b/tests/unit/call/call_fixture.cpp
@@ -1,4 +1,4 @@
-#include "call_bench.h"
+#include "call_fixture.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -20,12 +20,12 @@
         why.fail(failure_kind::overloaded, "wait for server", "", "refused by the test");
         co_return std::nullopt;
     }
-    auto given = grant();
-    given.ticket = waiting.id;
-    given.account = waiting.account;
-    given.server = *found;
+    auto granted = grant();
+    granted.ticket = waiting.id;
+    granted.account = waiting.account;
+    granted.server = *found;
     running[waiting.id] = *found;
-    co_return given;
+    co_return granted;
 }
 
 auto fake_grants::progress(ticket_id /*id*/, double /*cost*/) -> void {}
@@ -39,18 +39,18 @@
 
 auto fake_sink::deliver(const answer_piece &piece) -> boost::asio::awaitable<bool>
 {
-    ordered = ordered && piece.sequence == pieces && !whole;
+    ordered = ordered && piece.sequence == pieces && !lastReceived;
     ++pieces;
     text += piece.text;
-    whole = piece.last;
+    lastReceived = piece.last;
     finishReason = piece.finishReason;
     if (onPiece) {
         onPiece(piece);
     }
-    co_return leaveAfter == 0 || pieces < leaveAfter;
+    co_return disconnectAfter == 0 || pieces < disconnectAfter;
 }
 
-call_bench::call_bench(std::size_t engineCount)
+call_fixture::call_fixture(std::size_t engineCount)
 {
     for (auto index = std::size_t(0); index < engineCount; ++index) {
         m_engines.push_back(std::make_unique<fake_engine>(context));
@@ -73,18 +73,18 @@
     environment.onLeaving = [this](object_id server) {
         leaving.push_back(server);
     };
-    environment.limits.redialAfter = std::chrono::milliseconds(60);
+    environment.limits.reconnectAfter = std::chrono::milliseconds(60);
     environment.limits.firstEvent = std::chrono::seconds(2);
     environment.limits.betweenEvents = std::chrono::seconds(1);
     treatment.retries = 2;
 }
 
-auto call_bench::engine(std::size_t index) -> fake_engine &
+auto call_fixture::engine(std::size_t index) -> fake_engine &
 {
     return *m_engines[index];
 }
 
-auto call_bench::ask(const std::string &question, std::uint64_t maxTokens) -> model_request
+auto call_fixture::makeRequest(const std::string &question, std::uint64_t maxTokens) -> model_request
 {
     auto request = model_request();
     request.requestId = "r" + std::to_string(++m_requests);
@@ -97,7 +97,7 @@
     return request;
 }
 
-auto call_bench::run(model_request request) -> call_result
+auto call_fixture::run(model_request request) -> call_result
 {
     control = call_control::make(context.get_executor());
     auto call = model_call(environment, grants, sink, control, std::move(request));
@@ -116,7 +116,7 @@
     return *ended;
 }
 
-auto call_bench::settle(duration limit) -> void
+auto call_fixture::settle(duration limit) -> void
 {
     const auto until = std::chrono::steady_clock::now() + limit;
     while (!grants.running.empty() && std::chrono::steady_clock::now() < until) {
--- a/tests/unit/call/call_bench.h
+++ b/tests/unit/call/call_fixture.h
@@ -13,7 +13,7 @@
 
 namespace marjoramloom::test {
 
-/// Grants the first engine that is not excluded, at once; keeps count of what was granted and settled.
+/// Grant source that immediately grants the first engine that is not excluded, and records grants and settlements.
 class fake_grants
 {
 public:
@@ -29,18 +29,18 @@
     auto settle(ticket_id id, double cost) -> void;
 
     std::vector<object_id> servers;
-    std::vector<ticket> tickets; ///< As submitted.
-    std::map<ticket_id, object_id> running;
+    std::vector<ticket> tickets; ///< In order of submission.
+    std::map<ticket_id, object_id> running; ///< Granted and not settled.
     std::map<ticket_id, double> settled;
     bool settledTwice = false;
-    bool refuse = false;
+    bool refuse = false; ///< Refuses all tickets.
     std::function<void(const ticket &)> onAcquire;
 
 private:
     std::uint64_t m_serial = 0;
 };
 
-/// Collects an answer; may leave after some pieces, or be slow.
+/// Collects an answer, and can disconnect after some pieces.
 class fake_sink
 {
 public:
@@ -50,26 +50,26 @@
     std::string finishReason;
     std::uint64_t pieces = 0;
     bool ordered = true;
-    bool whole = false;
-    std::uint64_t leaveAfter = 0; ///< 0: stays.
+    bool lastReceived = false;
+    std::uint64_t disconnectAfter = 0; ///< Number of pieces; 0 for never.
     std::function<void(const answer_piece &)> onPiece;
 };
 
-/// Engines, grants and an environment for calls in the test's own process, on one thread.
-class call_bench
+/// Runs calls against fake engines and grants in the test process, on one thread.
+class call_fixture
 {
 public:
-    explicit call_bench(std::size_t engineCount);
+    explicit call_fixture(std::size_t engineCount);
 
     [[nodiscard]] auto engine(std::size_t index) -> fake_engine &;
 
-    /// A request for \p question with the bench's profile.
-    auto ask(const std::string &question, std::uint64_t maxTokens = 0) -> model_request;
+    /// Creates a request for \p question with the fixture's profile.
+    auto makeRequest(const std::string &question, std::uint64_t maxTokens = 0) -> model_request;
 
-    /// Runs one call to its end, then lets its clean-up finish.
+    /// Runs one call to its end and then waits for its clean-up with settle().
     auto run(model_request request) -> call_result;
 
-    /// Runs what is left for at most \p limit.
+    /// Runs the executor until all grants are settled, for at most \p limit.
     auto settle(duration limit = std::chrono::milliseconds(300)) -> void;
 
     boost::asio::io_context context;
--- a/tests/unit/call/connection_pool_test.cpp
+++ b/tests/unit/call/connection_pool_test.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+/// Answers every request with an empty reply.
 struct plain_handler_fake
 {
     static auto handle(http_exchange &exchange) -> boost::asio::awaitable<void>
@@ -22,7 +23,7 @@
     }
 };
 
-/// A server and a way to make connections to it that have carried one request.
+/// An HTTP server, and connections to it that have carried one request.
 struct pool_fixture
 {
     pool_fixture()
@@ -53,7 +54,7 @@
         const auto isDone = co_await connection->connect(1s, why) && co_await connection->send(request, 1s, why)
             && co_await connection->readHead(1s, why) && co_await connection->readRest(1'000, 1s, why);
         BOOST_TEST(isDone, why.text());
-        connection->limitIdle(10s);
+        connection->setIdleLimit(10s);
         co_return connection;
     }
 
--- a/tests/unit/call/event_checker_test.cpp
+++ b/tests/unit/call/event_checker_test.cpp
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(event_checker_test)
 
-BOOST_AUTO_TEST_CASE(events_of_the_request_come_once_and_in_order)
+BOOST_AUTO_TEST_CASE(duplicate_and_missing_events_are_detected)
 {
     auto checker = event_checker("a-1");
     BOOST_TEST(checker.lastEventId().empty());
@@ -36,7 +36,7 @@
     BOOST_TEST(checker.lastEventId() == "a-1:2");
 }
 
-BOOST_AUTO_TEST_CASE(events_of_other_requests_are_crossed)
+BOOST_AUTO_TEST_CASE(events_of_other_requests_are_rejected)
 {
     auto checker = event_checker("a-1");
     BOOST_TEST(verdictOf(checker, event("b-1", 0, "b-1")) == "crossed");
@@ -58,7 +58,7 @@
     BOOST_TEST(verdictOf(checker, event("a-1", 1, "a-1")) == "malformed");
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_is_read_alike_however_its_bytes_are_cut)
+BOOST_AUTO_TEST_CASE(events_parse_identically_for_any_split_of_the_bytes)
 {
     auto random = boost::random::mt19937(11);
     const auto bytes =
--- a/tests/unit/call/fake_engine.cpp
+++ b/tests/unit/call/fake_engine.cpp
@@ -117,41 +117,41 @@
 {
     const auto alive = m_alive;
     auto buffer = boost::beast::flat_buffer();
-    auto goOn = true;
-    while (goOn) {
-        auto asked = request();
+    auto keepOpen = true;
+    while (keepOpen) {
+        auto received = request();
         auto error = error_code();
-        co_await http::async_read(*peer, buffer, asked, asio::redirect_error(asio::use_awaitable, error));
+        co_await http::async_read(*peer, buffer, received, asio::redirect_error(asio::use_awaitable, error));
         if (error || !*alive) {
             co_return;
         }
-        goOn = co_await answer(peer, std::move(asked));
-        goOn = goOn && *alive;
+        keepOpen = co_await answer(peer, std::move(received));
+        keepOpen = keepOpen && *alive;
     }
     auto ignored = error_code();
     peer->close(ignored);
 }
 
-auto fake_engine::answer(std::shared_ptr<socket> peer, request asked) -> asio::awaitable<bool>
+auto fake_engine::answer(std::shared_ptr<socket> peer, request received) -> asio::awaitable<bool>
 {
-    const auto target = std::string(asked.target());
+    const auto target = std::string(received.target());
     const auto id = target.substr(target.rfind('/') + 1);
-    if (asked.method() == http::verb::delete_) {
+    if (received.method() == http::verb::delete_) {
         cancelled.push_back(id);
-        const auto known = m_streams.erase(id) > 0;
-        co_await sendStatus(peer, known ? 200 : 404, false);
+        const auto existed = m_streams.erase(id) > 0;
+        co_await sendStatus(peer, existed ? 200 : 404, false);
         co_return true;
     }
     if (target == "/v1/load") {
         co_await sendStatus(peer, leaving ? 503 : 200, leaving, R"({"running":1,"waiting":0,"slots":8,"as_of_ms":10})");
         co_return true;
     }
-    if (asked.method() == http::verb::get) {
+    if (received.method() == http::verb::get) {
         if (!m_streams.contains(id)) {
             co_await sendStatus(peer, 404, false);
             co_return true;
         }
-        const auto last = std::string(asked["Last-Event-ID"]);
+        const auto last = std::string(received["Last-Event-ID"]);
         const auto from = last.empty() ? 0 : std::stoull(last.substr(last.rfind(':') + 1)) + 1;
         co_return co_await sendStream(peer, id, from, nextFault());
     }
@@ -164,18 +164,18 @@
         co_await sendStatus(peer, 503, false);
         co_return true;
     }
-    const auto started = start(asked);
+    const auto started = start(received);
     co_await pause(firstEventDelay);
     co_return co_await sendStream(peer, started, 0, planned);
 }
 
-auto fake_engine::start(const request &asked) -> std::string
+auto fake_engine::start(const request &received) -> std::string
 {
-    const auto id = std::string(asked["X-Request-Id"]);
-    const auto body = json::parse(asked.body());
+    const auto id = std::string(received["X-Request-Id"]);
+    const auto body = json::parse(received.body());
     const auto &messages = body.at("messages").as_array();
-    auto made = stream();
-    made.finishReason = "stop";
+    auto newStream = stream();
+    newStream.finishReason = "stop";
     auto prefix = std::string();
     if (messages.back().at("role") == "assistant") {
         prefix = messages.back().at("content").as_string();
@@ -185,19 +185,19 @@
         if (skipped < prefix.size()) {
             skipped += token.size();
         } else {
-            made.tokens.push_back(std::move(token));
+            newStream.tokens.push_back(std::move(token));
         }
     }
     const auto *limit = body.as_object().if_contains("max_tokens");
-    const auto most = limit ? limit->to_number<std::size_t>() : made.tokens.size();
-    if (made.tokens.size() > most) {
-        made.tokens.resize(most);
-        made.finishReason = "length";
+    const auto tokenLimit = limit ? limit->to_number<std::size_t>() : newStream.tokens.size();
+    if (newStream.tokens.size() > tokenLimit) {
+        newStream.tokens.resize(tokenLimit);
+        newStream.finishReason = "length";
     }
-    if (made.tokens.empty()) {
-        made.tokens.emplace_back();
+    if (newStream.tokens.empty()) {
+        newStream.tokens.emplace_back();
     }
-    m_streams[id] = std::move(made);
+    m_streams[id] = std::move(newStream);
     executed.push_back(id);
     return id;
 }
@@ -224,13 +224,13 @@
     auto error = error_code();
     co_await asio::async_write(*peer, asio::buffer(head), asio::redirect_error(asio::use_awaitable, error));
     const auto sent = m_streams[id];
-    auto held = std::string();
+    auto delayedEvent = std::string();
     for (auto sequence = from; sequence < sent.tokens.size() && !error; ++sequence) {
         const auto last = sequence + 1 == sent.tokens.size();
-        const auto here = sequence == planned.at ? planned.fault : engine_fault::none;
-        auto text = eventText(id, sequence, here == engine_fault::crossBody ? "other-1" : id, sent.tokens[sequence],
-                              last ? sent.finishReason : "", sent.tokens.size());
-        switch (here) {
+        const auto currentFault = sequence == planned.at ? planned.fault : engine_fault::none;
+        auto text = eventText(id, sequence, currentFault == engine_fault::crossBody ? "other-1" : id,
+                              sent.tokens[sequence], last ? sent.finishReason : "", sent.tokens.size());
+        switch (currentFault) {
         case engine_fault::close:
             co_return false;
         case engine_fault::dieAfter:
@@ -245,7 +245,7 @@
         case engine_fault::drop:
             continue;
         case engine_fault::swap:
-            held = last ? "" : text;
+            delayedEvent = last ? "" : text;
             text = last ? text : "";
             break;
         case engine_fault::crossId:
@@ -257,8 +257,8 @@
         default:
             break;
         }
-        if (!text.empty() && !held.empty()) {
-            text += std::exchange(held, {});
+        if (!text.empty() && !delayedEvent.empty()) {
+            text += std::exchange(delayedEvent, {});
         }
         const auto delivered = text.empty() || co_await sendEvent(peer, text);
         if (!delivered || !*alive || !m_streams.contains(id)) {
--- a/tests/unit/call/fake_engine.h
+++ b/tests/unit/call/fake_engine.h
@@ -17,40 +17,41 @@
 
 namespace marjoramloom::test {
 
-/// What goes wrong with the answer on one connection, once.
+/// Fault in the answer on one connection.
 enum class engine_fault {
     none,
     close, ///< The connection is closed before event `at`.
-    silence, ///< Nothing more comes from event `at` on.
-    repeat, ///< Event `at` comes twice.
+    silence, ///< Nothing is sent from event `at` on; the connection stays open.
+    repeat, ///< Event `at` is sent twice.
     drop, ///< Event `at` is left out.
-    swap, ///< Event `at` comes after its successor.
-    crossId, ///< Before event `at` comes one with another request's id.
+    swap, ///< Event `at` is sent after its successor.
+    crossId, ///< An event with another request's id is sent before event `at`.
     crossBody, ///< Event `at` carries another request's body under its own id.
     garbage, ///< Event `at` is not JSON.
-    noMarker, ///< The end marker is missing, and the body ends.
-    lateEvent, ///< After the whole answer comes an event of another request.
-    refuse, ///< 503 without a reason; not executed.
-    dieAfter, ///< The engine closes everything and forgets its streams before event `at`.
+    noMarker, ///< The connection is closed without the end marker.
+    lateEvent, ///< An event of another request is sent after the complete answer.
+    refuse, ///< Answered with 503 but without X-Leaving; not executed.
+    dieAfter, ///< The engine calls die() before event `at`.
 };
 
+/// A fault and the sequence number of the event that it affects.
 struct planned_fault
 {
     engine_fault fault = engine_fault::none;
     std::uint64_t at = 0;
 };
 
-/// The whole answer that an engine gives to \p messages, in tokens; a prefix of it in a last assistant message is not
-/// part of the question.
+/// Tokens of the complete answer to \p messages. A last assistant message is a prefix of the answer and does not
+/// influence it.
 auto answerTokens(boost::json::array messages) -> std::vector<std::string>;
 
-/// As answerTokens(), for a user's one message.
+/// Text of the complete answer to a single user message.
 auto answerText(const std::string &question) -> std::string;
 
-/// A completions body that asks \p question.
+/// Body of a completions request for \p question.
 auto questionBody(const std::string &question, std::uint64_t maxTokens = 0) -> std::string;
 
-/// A model engine in the test's own process, with one planned fault per answer that it sends.
+/// A model engine in the test process, with one planned fault per answer that it sends.
 class fake_engine
 {
 public:
@@ -59,21 +60,22 @@
 
     [[nodiscard]] auto address() const -> std::string;
 
-    /// Refuses connections from now on, closes the open ones and forgets all streams.
+    /// Simulates a crash: closes the listener and all connections, and drops all streams.
     auto die() -> void;
 
-    std::deque<planned_fault> faults; ///< For the next answers, in order.
+    std::deque<planned_fault> faults; ///< Faults of the next answers, in order.
     bool leaving = false;
-    duration firstEventDelay{}; ///< Of answers to POST.
+    duration firstEventDelay{}; ///< Applies to answers to POST.
     duration eventDelay{};
-    std::vector<std::string> executed; ///< Ids of the requests that it started.
+    std::vector<std::string> executed; ///< Ids of the requests that were started.
     std::vector<std::string> cancelled;
-    std::size_t connections = 0; ///< Accepted so far.
+    std::size_t connections = 0; ///< Number of connections accepted so far.
 
 private:
     using socket = boost::asio::ip::tcp::socket;
     using request = boost::beast::http::request<boost::beast::http::string_body>;
 
+    /// The answer to one request.
     struct stream
     {
         std::vector<std::string> tokens;
@@ -82,8 +84,8 @@
 
     auto accept() -> boost::asio::awaitable<void>;
     auto serve(std::shared_ptr<socket> peer) -> boost::asio::awaitable<void>;
-    auto answer(std::shared_ptr<socket> peer, request asked) -> boost::asio::awaitable<bool>;
-    auto start(const request &asked) -> std::string;
+    auto answer(std::shared_ptr<socket> peer, request received) -> boost::asio::awaitable<bool>;
+    auto start(const request &received) -> std::string;
     auto sendStatus(std::shared_ptr<socket> peer, unsigned status, bool leavingHeader, std::string body = "{}")
         -> boost::asio::awaitable<void>;
     auto sendStream(std::shared_ptr<socket> peer, std::string id, std::uint64_t from, planned_fault planned)
--- a/tests/unit/call/fake_service.cpp
+++ b/tests/unit/call/fake_service.cpp
@@ -52,19 +52,19 @@
 {
     auto buffer = boost::beast::flat_buffer();
     while (true) {
-        auto asked = http::request<http::string_body>();
+        auto received = http::request<http::string_body>();
         auto error = error_code();
-        co_await http::async_read(*peer, buffer, asked, asio::redirect_error(asio::use_awaitable, error));
+        co_await http::async_read(*peer, buffer, received, asio::redirect_error(asio::use_awaitable, error));
         if (error) {
             co_return;
         }
         const auto leaving = behaviour == service_behaviour::refuseLeaving;
         auto reply = http::response<http::string_body>(leaving ? http::status::service_unavailable : http::status::ok,
-                                                       asked.version());
+                                                       received.version());
         if (leaving) {
             reply.set("X-Leaving", "true");
         } else {
-            executed.emplace_back(asked["X-Request-Id"]);
+            executed.emplace_back(received["X-Request-Id"]);
         }
         if (behaviour == service_behaviour::closeAfterRun) {
             co_return;
@@ -73,11 +73,11 @@
             m_silent.push_back(peer);
             co_return;
         }
-        reply.body() = "{\"echo\":\"" + asked.body() + "\"}";
+        reply.body() = "{\"echo\":\"" + received.body() + "\"}";
         if (behaviour == service_behaviour::largeAnswer) {
             reply.body().assign(100'000, 'x');
         }
-        reply.keep_alive(asked.keep_alive());
+        reply.keep_alive(received.keep_alive());
         reply.prepare_payload();
         if (behaviour == service_behaviour::closeInAnswer) {
             const auto part = std::string("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"echo\":");
--- a/tests/unit/call/fake_service.h
+++ b/tests/unit/call/fake_service.h
@@ -9,19 +9,19 @@
 
 namespace marjoramloom::test {
 
-/// What a plain service does with the requests on one connection.
+/// Behaviour of a plain service for the requests on one connection.
 enum class service_behaviour {
     answer,
     closeBeforeRead, ///< Not executed.
     closeAfterRun, ///< Executed, then closed without an answer.
     closeInAnswer, ///< Executed, and the answer is cut off.
-    silentAfterRun,
+    silentAfterRun, ///< Executed, but never answered; the connection stays open.
     refuseLeaving, ///< Not executed.
-    largeAnswer,
-    answerOnceThenSilent,
+    largeAnswer, ///< Executed, and answered with 100,000 bytes.
+    answerOnceThenSilent, ///< Only the first request on the connection is answered.
 };
 
-/// A plain service in the test's own process.
+/// A plain service in the test process.
 class fake_service
 {
 public:
@@ -30,8 +30,8 @@
     [[nodiscard]] auto address() const -> std::string;
     auto stopListening() -> void;
 
-    std::vector<service_behaviour> plan; ///< Of its connections, in order; then `answer`.
-    std::vector<std::string> executed; ///< Request ids.
+    std::vector<service_behaviour> plan; ///< Behaviour per connection, in order; `answer` for later ones.
+    std::vector<std::string> executed; ///< Ids of the executed requests.
 
 private:
     using socket = boost::asio::ip::tcp::socket;
--- a/tests/unit/call/load_watch_test.cpp
+++ b/tests/unit/call/load_watch_test.cpp
@@ -1,4 +1,4 @@
-#include "call_bench.h"
+#include "call_fixture.h"
 #include "marjoramloom/call/load_watch.h"
 
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(servers_are_polled_in_turn_and_silence_and_leaving_are_noticed)
+BOOST_AUTO_TEST_CASE(polling_reports_loads_failed_polls_and_leaving_servers)
 {
     auto context = boost::asio::io_context();
     auto live = fake_engine(context);
@@ -44,7 +44,7 @@
     handlers.onLeaving = [&](object_id server) {
         leaving += server.value == 2 ? 1 : 100;
     };
-    handlers.onSilent = [&](object_id server, std::uint32_t failures) {
+    handlers.onPollFailed = [&](object_id server, std::uint32_t failures) {
         silent[server.value] = failures;
     };
     const auto watch = std::make_shared<load_watch>(context.get_executor(), settings, handlers);
@@ -56,7 +56,7 @@
     BOOST_TEST(reports.size() == 1U);
     BOOST_TEST(leaving < 100U);
     BOOST_TEST(silent.size() == 1U);
-    // One connection each serves all polls.
+    // All polls of a server use the same connection.
     BOOST_TEST(live.connections == 1U);
     watch->setServers({});
     watch->stop();
--- a/tests/unit/call/plain_call_test.cpp
+++ b/tests/unit/call/plain_call_test.cpp
@@ -1,4 +1,4 @@
-#include "call_bench.h"
+#include "call_fixture.h"
 #include "fake_service.h"
 #include "marjoramloom/call/plain_call.h"
 
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Two plain services and one call at them.
-struct plain_bench
+/// Two plain services, and a call that either may run.
+struct plain_fixture
 {
-    call_bench calls{ 0 };
+    call_fixture calls{ 0 };
     fake_service first{ calls.context };
     fake_service second{ calls.context };
     plain_work work;
 
-    explicit plain_bench(bool repeatable)
+    explicit plain_fixture(bool repeatable)
     {
         calls.grants.servers = { { 1 }, { 2 } };
         const auto addresses = std::map<std::uint64_t, std::string>{ { 1, first.address() }, { 2, second.address() } };
@@ -28,7 +28,7 @@
         work.request = { "order-1", "POST", "/orders", "application/json", "coach", repeatable };
         work.treatment.retries = 2;
         work.limits.answer = std::chrono::milliseconds(100);
-        work.limits.redialAfter = std::chrono::milliseconds(50);
+        work.limits.reconnectAfter = std::chrono::milliseconds(50);
         work.limits.answerBytes = 10'000;
     }
 
@@ -57,91 +57,91 @@
 
 BOOST_AUTO_TEST_SUITE(plain_call_test)
 
-BOOST_AUTO_TEST_CASE(the_whole_answer_comes_back)
+BOOST_AUTO_TEST_CASE(a_complete_answer_is_returned)
 {
-    auto bench = plain_bench(false);
-    const auto result = bench.run();
+    auto fixture = plain_fixture(false);
+    const auto result = fixture.run();
     BOOST_TEST(nameOf(result.state) == "complete", result.reason.text());
     BOOST_REQUIRE(result.answer.has_value());
     BOOST_TEST(result.answer->body == "{\"echo\":\"coach\"}");
-    BOOST_TEST(bench.executions() == 1U);
+    BOOST_TEST(fixture.executions() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_cannot_be_reached_is_proof_so_another_may_run_it)
+BOOST_AUTO_TEST_CASE(a_failed_connect_allows_another_server_to_run_the_call)
 {
-    auto bench = plain_bench(false);
-    bench.first.stopListening();
-    const auto result = bench.run();
+    auto fixture = plain_fixture(false);
+    fixture.first.stopListening();
+    const auto result = fixture.run();
     BOOST_TEST(nameOf(result.state) == "complete", result.reason.text());
-    BOOST_TEST(bench.executions() == 1U);
+    BOOST_TEST(fixture.executions() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(not_run_is_said_only_where_no_server_was_reached)
+BOOST_AUTO_TEST_CASE(a_call_is_not_run_if_no_server_can_be_reached)
 {
-    auto bench = plain_bench(false);
-    bench.first.stopListening();
-    bench.second.stopListening();
-    const auto result = bench.run();
+    auto fixture = plain_fixture(false);
+    fixture.first.stopListening();
+    fixture.second.stopListening();
+    const auto result = fixture.run();
     BOOST_TEST(nameOf(result.state) == "not_run");
-    BOOST_TEST(bench.executions() == 0U);
+    BOOST_TEST(fixture.executions() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_that_may_not_be_repeated_is_sent_once_whatever_fails_after_the_first_byte)
+BOOST_AUTO_TEST_CASE(a_non_repeatable_call_is_not_resent_after_its_first_byte)
 {
     for (const auto behaviour :
          { service_behaviour::closeBeforeRead, service_behaviour::closeAfterRun, service_behaviour::closeInAnswer,
            service_behaviour::silentAfterRun, service_behaviour::largeAnswer }) {
-        auto bench = plain_bench(false);
-        bench.first.plan = { behaviour };
-        const auto result = bench.run();
+        auto fixture = plain_fixture(false);
+        fixture.first.plan = { behaviour };
+        const auto result = fixture.run();
         BOOST_TEST(nameOf(result.state) == "unknown_outcome");
         BOOST_TEST(result.attempts == 1U);
-        BOOST_TEST(bench.executions() <= 1U);
-        BOOST_TEST(bench.second.executed.empty());
+        BOOST_TEST(fixture.executions() <= 1U);
+        BOOST_TEST(fixture.second.executed.empty());
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_server_has_not_run_it_and_another_does)
+BOOST_AUTO_TEST_CASE(a_call_refused_by_a_leaving_server_runs_on_another)
 {
-    auto bench = plain_bench(false);
-    bench.work.treatment.retries = 0;
-    bench.first.plan = { service_behaviour::refuseLeaving };
-    const auto result = bench.run();
+    auto fixture = plain_fixture(false);
+    fixture.work.treatment.retries = 0;
+    fixture.first.plan = { service_behaviour::refuseLeaving };
+    const auto result = fixture.run();
     BOOST_TEST(nameOf(result.state) == "complete", result.reason.text());
-    BOOST_TEST(bench.second.executed.size() == 1U);
-    BOOST_TEST(bench.calls.leaving.size() == 1U);
+    BOOST_TEST(fixture.second.executed.size() == 1U);
+    BOOST_TEST(fixture.calls.leaving.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_repeatable_call_is_asked_again)
+BOOST_AUTO_TEST_CASE(a_repeatable_call_is_retried_after_a_failure)
 {
     for (const auto behaviour : { service_behaviour::closeBeforeRead, service_behaviour::closeAfterRun,
                                   service_behaviour::closeInAnswer, service_behaviour::silentAfterRun }) {
-        auto bench = plain_bench(true);
-        bench.first.plan = { behaviour };
-        const auto result = bench.run();
+        auto fixture = plain_fixture(true);
+        fixture.first.plan = { behaviour };
+        const auto result = fixture.run();
         BOOST_TEST(nameOf(result.state) == "complete", result.reason.text());
-        BOOST_TEST(bench.calls.grants.running.empty());
+        BOOST_TEST(fixture.calls.grants.running.empty());
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_call_that_may_have_run_is_never_called_not_run_later)
+BOOST_AUTO_TEST_CASE(a_failed_retry_does_not_hide_that_the_call_may_have_run)
 {
-    auto bench = plain_bench(true);
-    bench.first.plan = { service_behaviour::closeAfterRun };
-    bench.second.stopListening();
-    const auto result = bench.run();
+    auto fixture = plain_fixture(true);
+    fixture.first.plan = { service_behaviour::closeAfterRun };
+    fixture.second.stopListening();
+    const auto result = fixture.run();
     BOOST_TEST(nameOf(result.state) == "unknown_outcome");
-    BOOST_TEST(bench.executions() == 1U);
+    BOOST_TEST(fixture.executions() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(an_idle_connection_that_went_silent_is_replaced)
 {
-    auto bench = plain_bench(true);
-    bench.calls.grants.servers.resize(1);
-    bench.work.treatment.retries = 0;
-    bench.first.plan = { service_behaviour::answerOnceThenSilent };
-    BOOST_TEST(nameOf(bench.run().state) == "complete");
-    const auto result = bench.run();
+    auto fixture = plain_fixture(true);
+    fixture.calls.grants.servers.resize(1);
+    fixture.work.treatment.retries = 0;
+    fixture.first.plan = { service_behaviour::answerOnceThenSilent };
+    BOOST_TEST(nameOf(fixture.run().state) == "complete");
+    const auto result = fixture.run();
     BOOST_TEST(nameOf(result.state) == "complete", result.reason.text());
     BOOST_TEST(result.attempts == 1U);
 }
@@ -157,12 +157,12 @@
         budget.onCall();
         taken += budget.take() ? 1 : 0;
     }
-    // A tenth of the calls, and what a quiet router may spend at once.
+    // A tenth of the 1000 calls, and the initial budget of 10.
     BOOST_TEST(taken <= 110);
     BOOST_TEST(taken >= 100);
 }
 
-BOOST_AUTO_TEST_CASE(pauses_before_retries_have_full_jitter_below_a_doubling_ceiling)
+BOOST_AUTO_TEST_CASE(retry_backoff_has_full_jitter_below_a_doubling_ceiling)
 {
     auto budget = retry_budget(0.1, 7);
     auto longest = duration();
--- a/tests/unit/call/start_gate_test.cpp
+++ b/tests/unit/call/start_gate_test.cpp
@@ -1,4 +1,4 @@
-#include "call_bench.h"
+#include "call_fixture.h"
 #include "marjoramloom/call/start_gate.h"
 
 #include <boost/test/unit_test.hpp>
@@ -19,25 +19,25 @@
 
 BOOST_AUTO_TEST_SUITE(start_gate_test)
 
-BOOST_AUTO_TEST_CASE(a_pause_closes_the_gate_until_news_asked_for_after_it)
+BOOST_AUTO_TEST_CASE(a_process_pause_closes_the_gate_until_a_later_refresh)
 {
     auto gate = start_gate();
     BOOST_TEST((gate.permission(server, at(0)) == start_permission::allowed));
-    gate.touch(at(0));
-    gate.touch(at(1'000));
+    gate.recordTick(at(0));
+    gate.recordTick(at(1'000));
     BOOST_TEST((gate.permission(server, at(2'000)) == start_permission::allowed));
-    // A call may run before the first tick after a pause.
+    // A call may be checked before the first tick after the pause.
     BOOST_TEST((gate.permission(server, at(9'000)) == start_permission::unknown));
-    gate.touch(at(9'000));
+    gate.recordTick(at(9'000));
     BOOST_TEST((gate.permission(server, at(9'000)) == start_permission::unknown));
-    // An answer from before the pause is no news.
-    gate.refreshed(at(1'000));
+    // A list that was requested before the pause is outdated.
+    gate.markRefreshed(at(1'000));
     BOOST_TEST((gate.permission(server, at(9'000)) == start_permission::unknown));
-    gate.refreshed(at(9'001));
+    gate.markRefreshed(at(9'001));
     BOOST_TEST((gate.permission(server, at(9'002)) == start_permission::allowed));
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_server_is_refused_whatever_else_is_known)
+BOOST_AUTO_TEST_CASE(a_leaving_server_is_refused_before_the_first_tick)
 {
     auto gate = start_gate();
     gate.setLeaving({ server });
@@ -47,17 +47,17 @@
     BOOST_TEST((gate.permission(server, at(0)) == start_permission::allowed));
 }
 
-BOOST_AUTO_TEST_CASE(a_grant_that_is_older_than_the_news_is_given_back_unused)
+BOOST_AUTO_TEST_CASE(a_grant_for_a_leaving_server_is_returned_unused)
 {
     auto gate = start_gate();
     gate.setLeaving({ server });
-    auto bench = call_bench(2);
-    bench.environment.gate = &gate;
-    const auto result = bench.run(bench.ask("question"));
+    auto fixture = call_fixture(2);
+    fixture.environment.gate = &gate;
+    const auto result = fixture.run(fixture.makeRequest("question"));
     BOOST_TEST(nameOf(result.state) == "complete", result.reason.text());
-    BOOST_TEST(bench.engine(0).connections == 0U);
-    BOOST_TEST(bench.engine(1).executed.size() == 1U);
-    BOOST_TEST(bench.grants.running.empty());
+    BOOST_TEST(fixture.engine(0).connections == 0U);
+    BOOST_TEST(fixture.engine(1).executed.size() == 1U);
+    BOOST_TEST(fixture.grants.running.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/call/stop_calendar_test.cpp
+++ b/tests/unit/call/stop_calendar_test.cpp
@@ -52,7 +52,7 @@
     BOOST_TEST(!calendar.nextChange(noon + 60'000).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(two_stops_at_once_each_hold)
+BOOST_AUTO_TEST_CASE(overlapping_planned_stops_all_apply)
 {
     auto accepted = twoServers();
     accepted.plannedStops["s"] = { { 9 }, "s", "e1", noon, noon + 10'000 };
@@ -65,7 +65,7 @@
     BOOST_TEST(phase(calendar, 2, noon + 5'000) == "open");
 }
 
-BOOST_AUTO_TEST_CASE(a_listed_leaving_server_keeps_its_streams_for_a_grace)
+BOOST_AUTO_TEST_CASE(a_listed_leaving_server_keeps_its_streams_for_a_grace_period)
 {
     auto calendar = stop_calendar();
     calendar.setConfiguration(twoServers());
@@ -77,7 +77,7 @@
     BOOST_TEST(phase(calendar, 1, noon + 21'000) == "open");
 }
 
-BOOST_AUTO_TEST_CASE(the_list_is_kept_while_the_configuration_changes)
+BOOST_AUTO_TEST_CASE(a_configuration_change_keeps_the_instance_list_state)
 {
     auto calendar = stop_calendar();
     calendar.setConfiguration(twoServers());
@@ -86,7 +86,7 @@
     BOOST_TEST(phase(calendar, 1, noon) == "no_new_work");
 }
 
-BOOST_AUTO_TEST_CASE(a_servers_own_word_holds_for_a_while_and_the_newest_counts)
+BOOST_AUTO_TEST_CASE(a_server_notice_expires_and_the_newest_one_applies)
 {
     auto calendar = stop_calendar();
     calendar.setConfiguration(twoServers());
@@ -102,17 +102,17 @@
     BOOST_TEST(phase(calendar, 1, noon + 17'000) == "open");
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_ends_with_the_last_piece_of_work)
+BOOST_AUTO_TEST_CASE(a_drain_completes_when_the_last_work_ends)
 {
     auto tracker = drain_tracker();
     auto drained = 0;
     {
-        auto first = tracker.enter();
+        auto first = tracker.beginWork();
         const auto moved = std::move(first);
         tracker.drain([&] { ++drained; });
         {
-            const auto late = tracker.enter();
-            BOOST_TEST(tracker.held() == 2U);
+            const auto late = tracker.beginWork();
+            BOOST_TEST(tracker.activeCount() == 2U);
         }
         BOOST_TEST(drained == 0);
         BOOST_TEST(tracker.draining());
