--- a/include/marjoramloom/gateway/engine_decision.h
+++ b/include/marjoramloom/gateway/engine_decision.h
@@ -13,7 +13,7 @@
 {
     std::string service;
     engine_shard part; ///< Only its engines may be chosen.
-    prompt_outline prompt;
+    prompt_summary prompt;
     std::uint64_t account = 0; ///< From account_usage::accountId().
     duration objective{}; ///< Latency objective of the first event.
     tried_servers failed; ///< Engines at which this request has just failed; they are not chosen again.
--- a/include/marjoramloom/gateway/engine_shards.h
+++ b/include/marjoramloom/gateway/engine_shards.h
@@ -27,9 +27,9 @@
 
 /// Id of the prefix that \p prompt shares with others, which selects its home engine: the id of the last block but one,
 /// of the only block if there is just one, or 0 without blocks. Thread safe.
-auto sharedPrefixId(const prompt_outline &prompt) -> std::uint64_t;
+auto sharedPrefixId(const prompt_summary &prompt) -> std::uint64_t;
 
 /// The shard of \p engines that \p prompt belongs to. Thread safe.
-auto shardOf(const std::vector<server_directory::server_ptr> &engines, const prompt_outline &prompt) -> engine_shard;
+auto shardOf(const std::vector<server_directory::server_ptr> &engines, const prompt_summary &prompt) -> engine_shard;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/event_splitter.h
+++ b/include/marjoramloom/gateway/event_splitter.h
@@ -8,26 +8,28 @@
 
 namespace marjoramloom {
 
-/// One whole event of a stream, byte for byte.
+/// One complete event of an event stream, with its bytes unchanged.
 struct stream_event
 {
-    std::string bytes; ///< With the empty line that ends it.
-    std::optional<std::int64_t> id;
+    std::string bytes; ///< Includes the empty line that ends the event.
+    std::optional<std::int64_t> id; ///< Number in the "id:" field; empty where the field is absent or no number.
 };
 
-/// Cuts the bytes of an event stream between its events, so that a stream that breaks off in the middle of an event can
-/// go on elsewhere. Not thread safe.
+/// Splits the bytes of an event stream (text/event-stream) into complete events.
+///
+/// Only complete events are forwarded, so a stream that breaks off within an event can be resumed at another backend
+/// server. Not thread safe.
 class event_splitter
 {
 public:
-    /// Adds \p bytes and returns the events that they complete.
+    /// Appends \p bytes and returns the events that they complete.
     [[nodiscard]] auto feed(std::string_view bytes) -> std::vector<stream_event>;
 
-    /// Whether bytes are left that end no event.
+    /// Whether bytes of an incomplete event are buffered.
     [[nodiscard]] auto hasPartialEvent() const -> bool;
 
 private:
-    std::string m_pending;
+    std::string m_pending; ///< Bytes of the incomplete event.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/gateway_call.h
+++ b/include/marjoramloom/gateway/gateway_call.h
@@ -13,69 +13,69 @@
 
 namespace marjoramloom {
 
-/// How one send of a request to a backend server ended.
-enum class send_end {
-    answered, ///< The caller has the whole answer.
-    notSent, ///< Nothing reached the server.
-    notRun, ///< The server said that it did not run the request.
-    failed, ///< The server's whole answer is a failure of its own.
-    broken, ///< The answer did not come whole; the request may have run.
-    callerLeft,
+/// Outcome of one attempt to send a request to a backend server.
+enum class attempt_outcome {
+    answered, ///< The complete answer was forwarded to the caller.
+    notSent, ///< No byte of the request was sent to the server.
+    notRun, ///< The server reported that it did not execute the request.
+    failed, ///< The server sent a complete answer that reports a failure.
+    incomplete, ///< The answer is incomplete; the request may have been executed.
+    callerDisconnected,
 };
 
 template<>
-struct enum_names<send_end>
+struct enum_names<attempt_outcome>
 {
     static constexpr std::array table{
-        enum_name<send_end>{ send_end::answered, "answered" },
-        enum_name<send_end>{ send_end::notSent, "not_sent" },
-        enum_name<send_end>{ send_end::notRun, "not_run" },
-        enum_name<send_end>{ send_end::failed, "failed" },
-        enum_name<send_end>{ send_end::broken, "broken" },
-        enum_name<send_end>{ send_end::callerLeft, "caller_left" },
+        enum_name<attempt_outcome>{ attempt_outcome::answered, "answered" },
+        enum_name<attempt_outcome>{ attempt_outcome::notSent, "not_sent" },
+        enum_name<attempt_outcome>{ attempt_outcome::notRun, "not_run" },
+        enum_name<attempt_outcome>{ attempt_outcome::failed, "failed" },
+        enum_name<attempt_outcome>{ attempt_outcome::incomplete, "broken" },
+        enum_name<attempt_outcome>{ attempt_outcome::callerDisconnected, "caller_left" },
     };
 };
 
-/// One caller's request, from its route to its final answer.
+/// Processes one request from the selected route to the final answer.
 ///
-/// A request that may run at most once is sent again only where nothing was sent or the server said that it did not run
-/// it. A stream that may be resumed goes on at another server after its last whole event. Belongs to the router's only
-/// thread; use it once.
+/// A request that may be executed at most once is retried only if nothing was sent or if the server reported that it
+/// did not execute it. A resumable stream continues at another server after its last complete event. Not thread safe:
+/// runs on the router's only thread. Each object processes one request.
 class gateway_call
 {
 public:
-    /// Preconditions: all outlive the call; \p route belongs to \p routes.
+    /// Preconditions: all referenced objects outlive the call; \p route belongs to \p routes.
     gateway_call(gateway_state &state, placement_dispatch &dispatch, http_exchange &exchange, routed_request request,
                  std::shared_ptr<const route_table> routes, const route_rule &route, std::string account);
 
-    /// Carries the request out and answers it.
+    /// Forwards the request to a backend server and answers the caller. Call once.
     auto run(std::shared_ptr<call_control> control) -> boost::asio::awaitable<void>;
 
 private:
-    struct send_state;
+    struct send_attempt;
 
-    auto choose() -> boost::asio::awaitable<std::optional<chosen_server>>;
-    auto chooseForPrompt(last_reason &why) -> boost::asio::awaitable<std::optional<chosen_server>>;
-    auto sendUntilDone() -> boost::asio::awaitable<void>;
-    auto sendOnce(const chosen_server &chosen) -> boost::asio::awaitable<send_end>;
+    auto chooseServer() -> boost::asio::awaitable<std::optional<chosen_server>>;
+    auto chooseEngineForPrompt(last_reason &why) -> boost::asio::awaitable<std::optional<chosen_server>>;
+    auto sendWithRetries() -> boost::asio::awaitable<void>;
+    auto sendAttempt(const chosen_server &chosen) -> boost::asio::awaitable<attempt_outcome>;
     auto openConnection(const chosen_server &chosen, last_reason &why)
         -> boost::asio::awaitable<std::shared_ptr<http_connection>>;
-    auto exchangeWith(send_state &sending) -> boost::asio::awaitable<send_end>;
-    auto readOwnHead(send_state &sending) -> boost::asio::awaitable<bool>;
-    auto relayStream(send_state &sending) -> boost::asio::awaitable<send_end>;
-    auto relayEvents(send_state &sending, std::string_view bytes) -> boost::asio::awaitable<send_end>;
-    auto startStreaming(const send_state &sending) -> void;
-    auto relayWhole(send_state &sending) -> boost::asio::awaitable<send_end>;
-    auto mayStillSend(const chosen_server &chosen, last_reason &why) -> bool;
+    auto sendAndReadAnswer(send_attempt &attempt) -> boost::asio::awaitable<attempt_outcome>;
+    auto readMatchingHead(send_attempt &attempt) -> boost::asio::awaitable<bool>;
+    auto relayStream(send_attempt &attempt) -> boost::asio::awaitable<attempt_outcome>;
+    auto relayEvents(send_attempt &attempt, std::string_view bytes) -> boost::asio::awaitable<attempt_outcome>;
+    auto startStreaming(const send_attempt &attempt) -> void;
+    auto relayCompleteAnswer(send_attempt &attempt) -> boost::asio::awaitable<attempt_outcome>;
+    auto canStillSend(const chosen_server &chosen, last_reason &why) -> bool;
     auto makeUpstreamRequest(const chosen_server &chosen) const -> http_connection::request;
-    auto maySendAgain(send_end end) -> bool;
+    auto mayRetry(attempt_outcome outcome) -> bool;
     auto noteServerFailed(const listed_server &server) -> void;
     auto refuse(unsigned status, std::string_view reason) -> boost::asio::awaitable<void>;
-    auto giveUp() -> boost::asio::awaitable<void>;
-    auto cost() const -> std::uint64_t;
-    auto timeLeft() const -> duration;
+    auto answerFailure() -> boost::asio::awaitable<void>;
+    auto costTokens() const -> std::uint64_t;
+    auto remainingTime() const -> duration;
     auto noteAnswered(unsigned status) -> void;
-    auto logEnd(std::string_view outcome, unsigned status) const -> void;
+    auto logCompletion(std::string_view outcome, unsigned status) const -> void;
 
     gateway_state &m_state;
     placement_dispatch &m_dispatch;
@@ -87,12 +87,13 @@
     std::uint64_t m_accountId;
     const routed_service *m_service = nullptr;
     std::shared_ptr<call_control> m_control;
-    tried_servers m_tried;
-    std::uint32_t m_sends = 0; ///< Sends that reached a server.
-    std::optional<std::int64_t> m_lastEvent; ///< Last event that the caller got of this answer.
-    duration m_firstEvent{}; ///< From the last send to its first event; 0 where none came.
-    bool m_mayHaveRun = false; ///< A send reached a server; no later refusal may promise that the request was not run.
-    bool m_streaming = false; ///< The caller has the head of a stream.
+    tried_servers m_triedServers;
+    std::uint32_t m_sendCount = 0; ///< Attempts for which a connection to a server was open.
+    std::optional<std::int64_t> m_lastEventId; ///< Id of the last event that was forwarded to the caller.
+    duration m_firstEventLatency{}; ///< From the last attempt to its first event; 0 without an event.
+    /// A server may have executed the request, so no later refusal may state that it was not executed.
+    bool m_mayHaveRun = false;
+    bool m_streaming = false; ///< The head of a stream was forwarded to the caller.
     last_reason m_why;
 };
 
--- a/include/marjoramloom/gateway/gateway_handler.h
+++ b/include/marjoramloom/gateway/gateway_handler.h
@@ -6,20 +6,23 @@
 
 namespace marjoramloom {
 
-/// Answers callers by the platform's routes: any method, path, header and body is passed on unchanged. Belongs to the
-/// router's only thread.
+/// Handles requests of callers: authenticates each one and forwards it along its route of the platform's configuration.
+///
+/// Method, path and body are forwarded unchanged; platform::copyRequestFields() says which headers are. Not thread
+/// safe: runs on the router's only thread.
 class gateway_handler
 {
 public:
     /// Precondition: \p state and \p dispatch outlive the handler.
     gateway_handler(gateway_state &state, placement_dispatch &dispatch);
 
+    /// Answers the request of \p exchange, or closes its connection where the caller has disconnected.
     auto handle(http_exchange &exchange) -> boost::asio::awaitable<void>;
 
 private:
     auto refuse(http_exchange &exchange, const routed_request &request, unsigned status, std::string_view reason)
         -> boost::asio::awaitable<void>;
-    auto carryOut(http_exchange &exchange, routed_request request, const route_rule &route, std::string account)
+    auto forward(http_exchange &exchange, routed_request request, const route_rule &route, std::string account)
         -> boost::asio::awaitable<void>;
 
     gateway_state &m_state;
--- a/include/marjoramloom/gateway/gateway_process.h
+++ b/include/marjoramloom/gateway/gateway_process.h
@@ -7,7 +7,7 @@
 
 namespace marjoramloom {
 
-/// A router that takes its routes, keys and backend servers from the platform. One thread does all of its work.
+/// A router process that reads its routes, keys and backend servers from the platform. All work runs on one thread.
 class gateway_process
 {
 public:
@@ -17,15 +17,16 @@
     gateway_process(const gateway_process &) = delete;
     auto operator=(const gateway_process &) -> gateway_process & = delete;
 
-    /// Opens the listeners; false where an address cannot be had. Call once, before run().
+    /// Opens the listening sockets. Returns false, with the reason in \p why, if one cannot be opened. Call once,
+    /// before run().
     auto start(last_reason &why) -> bool;
 
-    /// Serves until the process is told to stop and has finished its requests.
+    /// Serves until SIGTERM or SIGINT, and until the running requests end or the grace period is over.
     auto run() -> void;
 
 private:
-    struct parts;
-    std::unique_ptr<parts> m_parts;
+    struct components;
+    std::unique_ptr<components> m_components;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/gateway_settings.h
+++ b/include/marjoramloom/gateway/gateway_settings.h
@@ -7,17 +7,18 @@
 
 namespace marjoramloom {
 
-/// Settings of a router that takes its routes from the platform; docs/SETTINGS.md lists their keys.
+/// Settings of a router that reads its routes from the platform. docs/SETTINGS.md lists the keys of the settings file.
 struct gateway_settings
 {
-    /// Keys stop being served this long before a revocation must be in force: for the way to a backend server.
-    static constexpr std::chrono::milliseconds KEY_MARGIN{ 500 };
+    /// The router stops accepting keys this long before a revocation must be in force, as a request takes time to reach
+    /// its backend server.
+    static constexpr std::chrono::milliseconds KEY_EXPIRY_MARGIN{ 500 };
 
-    std::chrono::milliseconds keyLifetime{ 4'500 }; ///< How long keys are served after a proof that they are in force.
-    std::chrono::milliseconds graceTime{ 8'000 }; ///< From the signal to stop until the process is ended.
-    double cores = 1; ///< Share of a processor core that the router may use; large ones dispatch for the others.
-    std::uint32_t descriptors = 1'024; ///< File descriptors that the process may use.
-    gateway_retry_budget_settings repeats;
+    std::chrono::milliseconds keyLifetime{ 4'500 }; ///< How long keys are accepted after they were validated.
+    std::chrono::milliseconds gracePeriod{ 8'000 }; ///< From the stop signal until the process is killed.
+    double cores = 1; ///< CPU cores that the router may use; routers with more cores are preferred as dispatchers.
+    std::uint32_t maxFileDescriptors = 1'024; ///< File descriptors that the process may use.
+    gateway_retry_budget_settings retryBudgetSettings; ///< Limits of the retries to the servers of each service.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/gateway_state.h
+++ b/include/marjoramloom/gateway/gateway_state.h
@@ -24,41 +24,44 @@
 
 namespace marjoramloom {
 
-/// A prompt that an engine reads, to be told to the other routers.
-struct prompt_read
+/// A prompt that was sent to an engine, as reported to the other routers.
+struct prefill_record
 {
-    std::uint64_t server = 0; ///< Run of the engine.
-    std::vector<prompt_part> parts; ///< Without the last one.
-    std::uint32_t ownTokens = 0;
+    std::uint64_t server = 0; ///< Incarnation of the engine, see server_loads::incarnationId().
+    std::vector<prefix_block> parts; ///< All but the last prefix block.
+    std::uint32_t unsharedTokens = 0; ///< Tokens of the last prefix block and of the expected output.
 };
 
-/// What the requests of a router share. All of it belongs to the router's only thread.
+/// State that all requests of a router share. Not thread safe: used on the router's only thread.
 struct gateway_state
 {
+    /// Preconditions: \p registry outlives the state; \p seed initializes the random generator.
     gateway_state(const gateway_settings &given, router_identity self, counter_registry &registry, std::uint64_t seed);
 
-    /// Takes over new settings.
+    /// Applies new settings; retries that were counted stay counted.
     auto applySettings(const gateway_settings &given) -> void;
 
-    /// The engine whose run is \p server reads \p prompt: its shared parts are kept there for others. Returns what was
-    /// noted.
-    auto noteRead(std::uint64_t server, const prompt_outline &prompt) -> prompt_read;
+    /// Records that \p prompt was sent to the engine with the incarnation \p server, whose prefix cache then holds the
+    /// shared prefix blocks. Returns the record for the other routers.
+    auto recordPrefill(std::uint64_t server, const prompt_summary &prompt) -> prefill_record;
 
-    /// The budget of repeats to the servers of \p service.
-    auto repeatsOf(const std::string &service) -> gateway_retry_budget &;
+    /// The retry budget for the servers of \p service; created on first use.
+    auto retryBudgetFor(const std::string &service) -> gateway_retry_budget &;
 
-    /// Idle connections that this router may keep to one server of \p service: its part of half of what the server
-    /// accepts from all routers. The other half is for requests that open new ones.
-    [[nodiscard]] auto idleLimit(const routed_service &service) const -> std::size_t;
+    /// Maximum number of idle connections that this router keeps to one server of \p service.
+    ///
+    /// Half of the connections that the server accepts are divided evenly between the routers; the other half is left
+    /// for requests that open a new connection.
+    [[nodiscard]] auto maxIdleConnections(const routed_service &service) const -> std::size_t;
 
     gateway_settings settings;
-    std::string dataCentre;
+    std::string dataCentre; ///< Data centre of this router.
     counter_registry &counters;
-    std::shared_ptr<const route_table> routes; ///< Null before the first configuration.
-    bool hasServers = false; ///< Whether the list of backend servers was read.
-    bool stopping = false; ///< Connections close after their answers.
-    bool refusing = false; ///< Too late in a stop for further requests.
-    event_loop_delay lag;
+    std::shared_ptr<const route_table> routes; ///< Null until the first configuration was read.
+    bool hasServers = false; ///< The list of backend servers was read at least once.
+    bool stopping = false; ///< The process stops: callers' connections are closed after the next answer.
+    bool rejectingRequests = false; ///< The stop is so far advanced that new requests are rejected.
+    event_loop_delay loopDelay;
     key_freshness keys;
     server_directory servers;
     server_loads loads;
@@ -67,17 +70,17 @@
     pending_placements placements;
     account_usage accounts;
     admission_policy admission;
-    std::vector<prompt_read> unreportedReads;
-    std::size_t running = 0; ///< Requests that are being carried out.
+    std::vector<prefill_record> unreportedPrefills; ///< Not yet sent to the other routers.
+    std::size_t running = 0; ///< Requests that are being forwarded.
     prompt_placement placement;
     connection_pool connections;
     boost::random::mt19937_64 random;
-    std::map<std::string, gateway_retry_budget> repeats; ///< By service.
-    latency_histogram firstEvents; ///< From the send of a prompt to its first event.
-    latency_histogram answers; ///< From a request's arrival to its final answer.
-    counter &answered; ///< Final answers of backend servers.
-    counter &cut; ///< Answers broken off midway.
-    counter &abandoned; ///< Requests whose callers had left before they were looked at.
+    std::map<std::string, gateway_retry_budget> retryBudgets; ///< By service.
+    latency_histogram firstEventLatency; ///< From sending a request to the first event of its stream.
+    latency_histogram answerLatency; ///< From the arrival of a request to its final answer.
+    counter &answeredRequests; ///< Requests that were answered by a backend server.
+    counter &truncatedStreams; ///< Streams that ended before their last event.
+    counter &abandonedRequests; ///< Requests whose callers disconnected before the router processed them.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/listed_server.h
+++ b/include/marjoramloom/gateway/listed_server.h
@@ -6,22 +6,23 @@
 
 namespace marjoramloom {
 
-/// One run of a backend server, as it lists itself. A restart under the same name is another run.
+/// One incarnation of a backend server, as it registered itself in the platform's store. A restart under the same name
+/// is another incarnation.
 struct listed_server
 {
-    std::string id;
+    std::string id; ///< Name of its object in the store.
     std::string service;
     std::string address; ///< IP:port.
     std::string dataCentre;
-    std::uint32_t slots = 1;
-    bool leaving = false; ///< Takes no new requests.
-    std::chrono::milliseconds warmUpLeft{ 0 }; ///< How much longer it is slow after its start.
-    std::int64_t startedMs = 0; ///< Unix time of its start.
+    std::uint32_t slots = 1; ///< Requests that it executes at a time.
+    bool draining = false; ///< Takes no new requests.
+    std::chrono::milliseconds remainingWarmUp{ 0 }; ///< Time until it reaches full speed after its start.
+    std::int64_t startUnixMs = 0; ///< Unix time of its start.
 
-    /// Whether both describe the same run.
-    [[nodiscard]] auto sameRun(const listed_server &other) const -> bool
+    /// Whether both describe the same incarnation of a server.
+    [[nodiscard]] auto isSameIncarnation(const listed_server &other) const -> bool
     {
-        return id == other.id && startedMs == other.startedMs && address == other.address;
+        return id == other.id && startUnixMs == other.startUnixMs && address == other.address;
     }
 };
 
--- a/include/marjoramloom/gateway/load_exchange.h
+++ b/include/marjoramloom/gateway/load_exchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "marjoramloom/gateway/placement_dispatch.h"
-#include "marjoramloom/gateway/store_news.h"
+#include "marjoramloom/gateway/store_update.h"
 
 #include <boost/asio/ip/udp.hpp>
 #include <functional>
@@ -29,8 +29,8 @@
     /// Handlers of the queries and updates about the store that other routers send.
     struct store_handlers
     {
-        std::function<void(std::uint64_t router, const store_question &question)> onQuestion;
-        std::function<void(const store_news &news)> onNews;
+        std::function<void(std::uint64_t router, const store_query &question)> onQuestion;
+        std::function<void(const store_update &news)> onNews;
     };
 
     /// Precondition: \p state outlives this object.
@@ -56,8 +56,8 @@
     /// Informs all other routers that this one stops.
     auto announceStop() -> void;
 
-    auto sendStoreQuery(std::uint64_t router, const store_question &question) -> void;
-    auto sendStoreUpdate(std::uint64_t router, const store_news &news) -> void;
+    auto sendStoreQuery(std::uint64_t router, const store_query &question) -> void;
+    auto sendStoreUpdate(std::uint64_t router, const store_update &news) -> void;
 
     /// Sends and answers placement queries for this router.
     [[nodiscard]] auto dispatch() -> placement_dispatch &;
--- a/include/marjoramloom/gateway/prefix_cache_estimate.h
+++ b/include/marjoramloom/gateway/prefix_cache_estimate.h
@@ -22,15 +22,15 @@
 
     /// Records that the engine prefilled a prompt that consists of the shareable blocks \p parts and \p unsharedTokens
     /// that no other prompt shares.
-    auto noteRead(const std::vector<prompt_part> &parts, std::uint32_t unsharedTokens) -> void;
+    auto noteRead(const std::vector<prefix_block> &parts, std::uint32_t unsharedTokens) -> void;
 
     /// Number of tokens at the start of \p prompt that the engine is assumed to have cached.
-    [[nodiscard]] auto cachedTokens(const prompt_outline &prompt) const -> std::uint32_t;
+    [[nodiscard]] auto cachedTokens(const prompt_summary &prompt) const -> std::uint32_t;
 
 private:
-    using lru_list = std::list<prompt_part>;
+    using lru_list = std::list<prefix_block>;
 
-    auto touch(const prompt_part &part) -> void;
+    auto touch(const prefix_block &part) -> void;
     auto evict() -> void;
 
     std::uint64_t m_capacityTokens = 0;
--- a/include/marjoramloom/gateway/routed_request.h
+++ b/include/marjoramloom/gateway/routed_request.h
@@ -10,39 +10,39 @@
 
 namespace marjoramloom {
 
-/// A part of a prompt that engines keep once they have read it.
-struct prompt_part
+/// A block of a prompt's prefix that engines keep in their prefix cache after processing it.
+struct prefix_block
 {
-    std::uint64_t id = 0;
+    std::uint64_t id = 0; ///< Equal blocks of different prompts have the same id.
     std::uint32_t tokens = 0;
 };
 
-/// What a request says of the work that it asks of an engine.
-struct prompt_outline
+/// The headers of a request that describe its work for an engine.
+struct prompt_summary
 {
-    std::vector<prompt_part> parts; ///< In order; a kept part helps only where all before it are kept too.
+    std::vector<prefix_block> parts; ///< In order; a cached block saves work only if all blocks before it are cached.
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0; ///< Upper limit.
-    std::uint32_t expectedOutputTokens = 0; ///< The caller's guess, often far off; 0 where it gives none.
+    std::uint32_t outputTokens = 0; ///< Upper limit of the generated tokens.
+    std::uint32_t expectedOutputTokens = 0; ///< The caller's estimate, often far off; 0 if it gives none.
 
-    /// The best guess of the tokens that will be generated.
+    /// The best available estimate of the number of tokens that will be generated.
     [[nodiscard]] auto likelyOutputTokens() const -> std::uint32_t
     {
         return expectedOutputTokens > 0 ? expectedOutputTokens : outputTokens;
     }
 };
 
-/// A caller's request, decoded.
+/// The decoded head of a caller's request.
 struct routed_request
 {
-    std::string id; ///< Of this attempt of the caller; unique.
+    std::string id; ///< Unique; a retry by the caller has another id.
     std::string host;
     std::string path; ///< Without the query.
-    std::optional<std::string> key;
-    std::optional<std::chrono::milliseconds> callerLimit; ///< How long the caller waits.
-    std::optional<std::int64_t> lastEventId; ///< The caller has a stream's events up to here.
-    prompt_outline prompt;
-    boot_time arrived; ///< When its first byte was read.
+    std::optional<std::string> key; ///< API key of the client account; empty without one.
+    std::optional<std::chrono::milliseconds> callerTimeout; ///< How long the caller waits for the answer.
+    std::optional<std::int64_t> lastEventId; ///< The caller has received the events of the stream up to this id.
+    prompt_summary prompt;
+    boot_time arrived; ///< When the router began to process it.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/gateway/server_choice.h
+++ b/include/marjoramloom/gateway/server_choice.h
@@ -29,7 +29,7 @@
 /// Chooses an engine in \p shard of \p service for \p prompt that is not among \p tried. Returns nothing if none is
 /// left (failure kind notFound) or all are full (overloaded). Precondition: the service is one of engines.
 auto chooseEngine(gateway_state &state, const routed_service &service, const engine_shard &shard,
-                  const prompt_outline &prompt, const tried_servers &tried, time_point now, last_reason &why)
+                  const prompt_summary &prompt, const tried_servers &tried, time_point now, last_reason &why)
     -> std::optional<chosen_server>;
 
 /// Chooses a server of a plain service; fails like chooseEngine().
--- a/include/marjoramloom/gateway/status_handler.h
+++ b/include/marjoramloom/gateway/status_handler.h
@@ -5,11 +5,11 @@
 
 namespace marjoramloom {
 
-/// Answers the balancer's question whether this router is ready, and serves the counters. Thread safe.
+/// Serves the health checks of the load balancer (/healthz and /readyz) and the metrics. Thread safe.
 class status_handler
 {
 public:
-    /// Precondition: both outlive the handler.
+    /// Precondition: \p ready and \p counters outlive the handler.
     status_handler(const bool &ready, counter_registry &counters);
 
     auto handle(http_exchange &exchange) -> boost::asio::awaitable<void>;
--- a/include/marjoramloom/gateway/store_relay.h
+++ b/include/marjoramloom/gateway/store_relay.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "marjoramloom/gateway/platform_feed.h"
-#include "marjoramloom/gateway/watch_duty.h"
+#include "marjoramloom/gateway/watch_role.h"
 
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
@@ -10,67 +10,69 @@
 
 namespace marjoramloom {
 
-/// Lets a few routers of a data centre watch the platform's store for the others.
+/// Forwards the contents of the platform's store from the few routers of a data centre that watch it to the others.
 ///
-/// A router that does not watch asks one that does, several times a second, and is told of changes at once in between.
-/// A proof that keys are in force counts from the time of the question, so it holds however long the answer took.
-/// Belongs to the router's only thread.
+/// A router that does not watch sends queries to one that does, several times a second, and gets unsolicited updates of
+/// changes in between. A validation of the keys counts from the time of the query, so a slow answer cannot prolong it.
+/// Not thread safe: runs on the router's only thread.
 class store_relay
 {
 public:
-    /// Ways to another router; what they carry may be lost.
+    /// Functions that send datagrams to another router; datagrams may be lost.
     struct senders
     {
-        std::function<void(std::uint64_t router, const store_question &question)> question;
-        std::function<void(std::uint64_t router, const store_news &news)> news;
+        std::function<void(std::uint64_t router, const store_query &query)> query;
+        std::function<void(std::uint64_t router, const store_update &update)> update;
     };
 
     /// Preconditions: \p feed and \p state outlive the relay.
-    store_relay(boost::asio::any_io_executor executor, platform_feed &feed, gateway_state &state, senders sending);
+    store_relay(boost::asio::any_io_executor executor, platform_feed &feed, gateway_state &state,
+                senders datagramSenders);
 
-    /// Watches or asks; ends with its executor.
+    /// Decides periodically whether this router watches the store, and sends queries. Does not return.
     auto run() -> boost::asio::awaitable<void>;
 
-    /// The other routers are known.
-    auto noteJoined() -> void;
+    /// The other routers were read from the store; the watchers can be determined.
+    auto noteRoutersKnown() -> void;
 
-    /// Answers \p router.
-    auto answer(std::uint64_t router, const store_question &question) -> void;
+    /// Answers the query of \p router.
+    auto onQuery(std::uint64_t router, const store_query &query) -> void;
 
-    /// Takes over what another router told.
-    auto take(const store_news &news) -> void;
+    /// Applies an update of another router.
+    auto onUpdate(const store_update &update) -> void;
 
-    /// Something changed: tells the routers that asked lately.
-    auto tellFollowers() -> void;
+    /// Sends an update to the routers that sent a query recently. Call after a change.
+    auto notifyFollowers() -> void;
 
 private:
+    /// A router that gets its updates from this one.
     struct follower
     {
-        time_point askedAt;
-        std::uint64_t toldUpTo = 0; ///< Revision of the list of backend servers.
+        time_point queriedAt;
+        std::uint64_t sentRevision = 0; ///< Revision of the list of backend servers that was sent to it.
     };
 
-    /// Time between two questions; a revocation must be in force within seconds.
-    static constexpr duration QUESTION_PERIOD = std::chrono::milliseconds(400);
-    /// Part of the keys' lifetime that the proof of a router that watches as it should may be old.
-    static constexpr int PROOFS_PER_LIFETIME = 2;
-    /// A router that asked this long ago watches itself or is gone.
-    static constexpr duration FOLLOWER_MEMORY = std::chrono::milliseconds(2'000);
-    /// Questions whose answers still count.
-    static constexpr std::size_t OPEN_QUESTIONS = 6;
+    /// Time between two queries; a revocation must be in force within seconds.
+    static constexpr duration QUERY_PERIOD = std::chrono::milliseconds(400);
+    /// An update counts as current only if its validation is no older than the keys' lifetime divided by this.
+    static constexpr int VALIDATIONS_PER_LIFETIME = 2;
+    /// A router that sent no query for this long watches the store itself or has stopped.
+    static constexpr duration FOLLOWER_TIMEOUT = std::chrono::milliseconds(2'000);
+    /// Unanswered queries that are remembered; answers to older ones validate no keys.
+    static constexpr std::size_t MAX_OPEN_QUERIES = 6;
 
-    auto ask(time_point now) -> void;
+    auto sendQuery(time_point now) -> void;
 
     boost::asio::steady_timer m_timer;
     platform_feed &m_feed;
     gateway_state &m_state;
-    senders m_sending;
-    watch_duty m_duty;
-    std::uint64_t m_nextNumber = 0;
-    std::map<std::uint64_t, boot_time> m_open; ///< Begin of the questions without an answer.
+    senders m_senders;
+    watch_role m_watchRole;
+    std::uint64_t m_lastQueryNumber = 0;
+    std::map<std::uint64_t, boot_time> m_openQueries; ///< Send times of the unanswered queries, by number.
     std::unordered_map<std::uint64_t, follower> m_followers;
-    counter &m_questions;
-    counter &m_proofs;
+    counter &m_sentQueries;
+    counter &m_relayedValidations;
 };
 
 } // namespace marjoramloom
--- /dev/null
+++ b/include/marjoramloom/gateway/store_update.h
@@ -0,0 +1,35 @@
+#pragma once
+
+#include "marjoramloom/core/boot_clock.h"
+#include "marjoramloom/core/clock.h"
+#include "marjoramloom/gateway/server_change_log.h"
+
+#include <cstdint>
+#include <optional>
+#include <vector>
+
+namespace marjoramloom {
+
+/// Query of a router that does not watch the store to one that does.
+struct store_query
+{
+    std::uint64_t number = 0; ///< Repeated in the update that answers the query.
+    std::uint64_t serversRevision = 0; ///< Revision of the querying router's list of backend servers.
+};
+
+/// What a router knows of the store's contents, as sent to another router.
+struct store_update
+{
+    std::uint64_t number = 0; ///< Of the query that this answers; 0 for an unsolicited update.
+    /// Time since the start of the latest read that showed configurationRevision to be the newest; nothing if there was
+    /// none within the keys' lifetime.
+    std::optional<std::chrono::milliseconds> validationAge;
+    std::uint64_t configurationRevision = 0; ///< 0 before a configuration was read.
+    std::uint64_t serversBaseRevision = 0; ///< The changes start after this revision of the list of backend servers.
+    std::uint64_t serversRevision = 0; ///< Revision of the list after the changes.
+    std::vector<server_change> changes;
+    bool storeLost = false; ///< The sender gets no answers from the store.
+    std::chrono::milliseconds renewalLeft{ 0 }; ///< How much longer expired entries may be renewed.
+};
+
+} // namespace marjoramloom
--- a/src/gateway/datagram_codec.cpp
+++ b/src/gateway/datagram_codec.cpp
@@ -6,12 +6,12 @@
 
 /// Combines the lists of block ids and token counts; nothing if their lengths differ.
 template<typename Message>
-auto readParts(const Message &message) -> std::optional<std::vector<prompt_part>>
+auto readParts(const Message &message) -> std::optional<std::vector<prefix_block>>
 {
     if (message.parts_size() != message.part_tokens_size()) {
         return std::nullopt;
     }
-    auto parts = std::vector<prompt_part>();
+    auto parts = std::vector<prefix_block>();
     for (auto index = 0; index < message.parts_size(); ++index) {
         parts.push_back({ message.parts(index), message.part_tokens(index) });
     }
@@ -19,7 +19,7 @@
 }
 
 template<typename Message>
-auto writeParts(const std::vector<prompt_part> &parts, Message &message) -> void
+auto writeParts(const std::vector<prefix_block> &parts, Message &message) -> void
 {
     for (const auto &part : parts) {
         message.add_parts(part.id);
@@ -59,20 +59,22 @@
     return snapshot;
 }
 
-auto readPrompt(const wire::PromptRead &message) -> std::optional<prompt_read>
+auto readPrompt(const wire::PromptRead &message) -> std::optional<prefill_record>
 {
     auto parts = readParts(message);
     if (!parts) {
         return std::nullopt;
     }
-    return prompt_read{ .server = message.server(), .parts = std::move(*parts), .ownTokens = message.own_tokens() };
+    return prefill_record{ .server = message.server(),
+                           .parts = std::move(*parts),
+                           .unsharedTokens = message.own_tokens() };
 }
 
-auto write(const prompt_read &read, wire::PromptRead &message) -> void
+auto write(const prefill_record &read, wire::PromptRead &message) -> void
 {
     message.set_server(read.server);
     writeParts(read.parts, message);
-    message.set_own_tokens(read.ownTokens);
+    message.set_own_tokens(read.unsharedTokens);
 }
 
 auto readQuery(const wire::PlacementQuery &message) -> std::optional<placement_query>
@@ -134,18 +136,18 @@
     message.set_candidates(answer.candidates);
 }
 
-auto readStoreUpdate(const wire::StoreNews &message) -> store_news
+auto readStoreUpdate(const wire::StoreNews &message) -> store_update
 {
-    auto news = store_news{ .number = message.number(),
-                            .proofAge = std::nullopt,
-                            .configurationRevision = message.configuration_revision(),
-                            .serversAfter = message.servers_after(),
-                            .serversRevision = message.servers_revision(),
-                            .changes = {},
-                            .storeLost = message.store_lost(),
-                            .renewalLeft = std::chrono::milliseconds(message.renewal_left_ms()) };
+    auto news = store_update{ .number = message.number(),
+                              .validationAge = std::nullopt,
+                              .configurationRevision = message.configuration_revision(),
+                              .serversBaseRevision = message.servers_after(),
+                              .serversRevision = message.servers_revision(),
+                              .changes = {},
+                              .storeLost = message.store_lost(),
+                              .renewalLeft = std::chrono::milliseconds(message.renewal_left_ms()) };
     if (message.proved()) {
-        news.proofAge = std::chrono::milliseconds(message.proof_age_ms());
+        news.validationAge = std::chrono::milliseconds(message.proof_age_ms());
     }
     for (const auto &serverChange : message.changes()) {
         auto object = stored_object{
@@ -156,13 +158,14 @@
     return news;
 }
 
-auto write(const store_news &news, wire::StoreNews &message) -> void
+auto write(const store_update &news, wire::StoreNews &message) -> void
 {
     message.set_number(news.number);
-    message.set_proved(news.proofAge.has_value());
-    message.set_proof_age_ms(static_cast<std::uint32_t>(news.proofAge.value_or(std::chrono::milliseconds(0)).count()));
+    message.set_proved(news.validationAge.has_value());
+    message.set_proof_age_ms(
+        static_cast<std::uint32_t>(news.validationAge.value_or(std::chrono::milliseconds(0)).count()));
     message.set_configuration_revision(news.configurationRevision);
-    message.set_servers_after(news.serversAfter);
+    message.set_servers_after(news.serversBaseRevision);
     message.set_servers_revision(news.serversRevision);
     for (const auto &change : news.changes) {
         auto *serverChange = message.add_changes();
--- a/src/gateway/datagram_codec.h
+++ b/src/gateway/datagram_codec.h
@@ -4,7 +4,7 @@
 #include "marjoramloom/gateway/fleet_loads.h"
 #include "marjoramloom/gateway/placement_dispatch.h"
 #include "marjoramloom/gateway/router_roster.h"
-#include "marjoramloom/gateway/store_news.h"
+#include "marjoramloom/gateway/store_update.h"
 
 #include <optional>
 #include <vector>
@@ -18,8 +18,8 @@
 auto write(const router_identity &identity, wire::RouterIdentity &message) -> void;
 
 auto readReport(std::uint64_t incarnation, const wire::LoadReport &message) -> load_snapshot;
-auto readPrompt(const wire::PromptRead &message) -> std::optional<prompt_read>;
-auto write(const prompt_read &read, wire::PromptRead &message) -> void;
+auto readPrompt(const wire::PromptRead &message) -> std::optional<prefill_record>;
+auto write(const prefill_record &read, wire::PromptRead &message) -> void;
 
 auto readQuery(const wire::PlacementQuery &message) -> std::optional<placement_query>;
 auto write(const placement_query &query, wire::PlacementQuery &message) -> void;
@@ -27,7 +27,7 @@
 auto readAnswer(const wire::PlacementAnswer &message) -> placement_answer;
 auto write(const placement_answer &answer, wire::PlacementAnswer &message) -> void;
 
-auto readStoreUpdate(const wire::StoreNews &message) -> store_news;
-auto write(const store_news &news, wire::StoreNews &message) -> void;
+auto readStoreUpdate(const wire::StoreNews &message) -> store_update;
+auto write(const store_update &news, wire::StoreNews &message) -> void;
 
 } // namespace marjoramloom
--- a/src/gateway/engine_shards.cpp
+++ b/src/gateway/engine_shards.cpp
@@ -33,7 +33,7 @@
     return count;
 }
 
-auto sharedPrefixId(const prompt_outline &prompt) -> std::uint64_t
+auto sharedPrefixId(const prompt_summary &prompt) -> std::uint64_t
 {
     if (prompt.parts.empty()) {
         return 0;
@@ -41,7 +41,7 @@
     return prompt.parts.size() == 1 ? prompt.parts.front().id : prompt.parts[prompt.parts.size() - 2].id;
 }
 
-auto shardOf(const std::vector<server_directory::server_ptr> &engines, const prompt_outline &prompt) -> engine_shard
+auto shardOf(const std::vector<server_directory::server_ptr> &engines, const prompt_summary &prompt) -> engine_shard
 {
     const auto count = shardCount(engines.size());
     if (count == 1) {
--- a/src/gateway/event_splitter.cpp
+++ b/src/gateway/event_splitter.cpp
@@ -9,6 +9,7 @@
 constexpr std::string_view eventEnd = "\n\n";
 constexpr std::string_view idPrefix = "id:";
 
+/// The number in the first "id:" field of \p event; nothing if there is none or it is no number.
 auto idOf(std::string_view event) -> std::optional<std::int64_t>
 {
     while (!event.empty()) {
@@ -32,7 +33,7 @@
 auto event_splitter::feed(std::string_view bytes) -> std::vector<stream_event>
 {
     auto events = std::vector<stream_event>();
-    // The end of an event may lie across the old and the new bytes.
+    // The first byte of the separator may have come with the previous bytes.
     auto searchFrom = m_pending.empty() ? 0 : m_pending.size() - 1;
     m_pending += bytes;
     auto start = std::size_t(0);
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -19,15 +19,15 @@
 constexpr unsigned unavailable = 503;
 constexpr unsigned gatewayTimeout = 504;
 
-/// Longest wait for a new connection to a backend server.
-constexpr auto connectLimit = std::chrono::milliseconds(400);
-/// The caller's answer is on its way this long before its time is up.
+/// Time limit for opening a connection to a backend server.
+constexpr auto connectTimeout = std::chrono::milliseconds(400);
+/// The router answers this long before the caller's time limit, so that the answer arrives in time.
 constexpr auto answerMargin = std::chrono::milliseconds(15);
-/// Answers that are no streams are read whole before they are passed on, up to this size.
-constexpr auto wholeAnswerBytes = std::size_t(8) << 20U;
-/// Shortest idle time after which a server may close a connection that names no limit.
-constexpr auto unnamedIdleLimit = std::chrono::milliseconds(300);
-/// Connections are not used this close to the end of the idle time that the server named.
+/// Size limit of answers that are not event streams; they are buffered completely before they are forwarded.
+constexpr auto maxBufferedAnswerBytes = std::size_t(8) << 20U;
+/// Idle time after which a server may close a connection if its answer has no Keep-Alive timeout.
+constexpr auto defaultIdleTimeout = std::chrono::milliseconds(300);
+/// Connections are not reused this shortly before the Keep-Alive timeout of the server.
 constexpr auto idleMargin = std::chrono::milliseconds(500);
 
 auto isSuccess(const http::response_header<> &head) -> bool
@@ -35,8 +35,8 @@
     return http::to_status_class(head.result()) == http::status_class::successful;
 }
 
-/// Statuses that would promise the caller that its request was not run.
-auto promisesNotRun(unsigned status) -> bool
+/// Whether a caller takes \p status to mean that its request was not executed.
+auto impliesNotExecuted(unsigned status) -> bool
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -47,51 +47,51 @@
     return type.starts_with("text/event-stream");
 }
 
-/// Counts one send at a server until it ends.
-class load_guard
+/// Counts an attempt in the load of its server for as long as the object lives.
+class load_reservation
 {
 public:
-    load_guard(server_loads &loads, const chosen_server &chosen)
+    load_reservation(server_loads &loads, const chosen_server &chosen)
         : m_loads(loads)
         , m_server(chosen.server)
-        , m_unread(chosen.prefillTokens)
+        , m_pendingPrefillTokens(chosen.prefillTokens)
     {
         auto &load = m_loads.at(*m_server);
         ++load.running;
-        load.pendingPrefillTokens += m_unread;
+        load.pendingPrefillTokens += m_pendingPrefillTokens;
     }
-    ~load_guard()
+    ~load_reservation()
     {
-        noteRead();
+        notePrefillDone();
         --m_loads.at(*m_server).running;
     }
-    load_guard(const load_guard &) = delete;
-    auto operator=(const load_guard &) -> load_guard & = delete;
+    load_reservation(const load_reservation &) = delete;
+    auto operator=(const load_reservation &) -> load_reservation & = delete;
 
-    /// The server has read the prompt.
-    auto noteRead() -> void
+    /// The server has finished the prefill of the prompt.
+    auto notePrefillDone() -> void
     {
-        m_loads.at(*m_server).pendingPrefillTokens -= m_unread;
-        m_unread = 0;
+        m_loads.at(*m_server).pendingPrefillTokens -= m_pendingPrefillTokens;
+        m_pendingPrefillTokens = 0;
     }
 
 private:
     server_loads &m_loads;
     server_directory::server_ptr m_server;
-    std::uint64_t m_unread;
+    std::uint64_t m_pendingPrefillTokens;
 };
 
 } // namespace
 
-/// One send to one server.
-struct gateway_call::send_state
+/// State of one attempt to send the request to a server.
+struct gateway_call::send_attempt
 {
     const chosen_server &chosen;
     std::shared_ptr<http_connection> connection;
-    load_guard &load;
+    load_reservation &load;
     event_splitter splitter;
     time_point sentAt;
-    bool gotEvent = false;
+    bool receivedEvent = false;
 };
 
 gateway_call::gateway_call(gateway_state &state, placement_dispatch &dispatch, http_exchange &exchange,
@@ -105,7 +105,7 @@
     , m_route(route)
     , m_account(std::move(account))
     , m_accountId(account_usage::accountId(m_account))
-    , m_lastEvent(m_request.lastEventId)
+    , m_lastEventId(m_request.lastEventId)
 {
 }
 
@@ -118,147 +118,152 @@
         co_await refuse(unavailable, "unknown service");
         co_return;
     }
-    co_await sendUntilDone();
+    co_await sendWithRetries();
 }
 
-/// What the request costs its account: tokens read and, twice, tokens generated.
-auto gateway_call::cost() const -> std::uint64_t
+/// Cost that is charged to the client account: prompt tokens plus twice the expected output tokens.
+auto gateway_call::costTokens() const -> std::uint64_t
 {
     return m_request.prompt.promptTokens + std::uint64_t(2) * m_request.prompt.likelyOutputTokens();
 }
 
-auto gateway_call::sendUntilDone() -> asio::awaitable<void>
+auto gateway_call::sendWithRetries() -> asio::awaitable<void>
 {
-    auto end = send_end::notSent;
+    auto outcome = attempt_outcome::notSent;
     while (true) {
-        const auto chosen = co_await choose();
+        const auto chosen = co_await chooseServer();
         if (!chosen) {
             break;
         }
-        end = co_await sendOnce(*chosen);
+        outcome = co_await sendAttempt(*chosen);
         log_line(log_level::info, "sent")
             .with("request", m_request.id)
             .with("server", chosen->server->id)
-            .with("end", nameOf(end))
+            .with("end", nameOf(outcome))
             .with("to_read", chosen->prefillTokens)
             .with("prompt", m_request.prompt.promptTokens)
             .with("wait_ms", toSeconds(chosen->wait) * 1e3)
             .with("expected_ms", toSeconds(chosen->firstEvent) * 1e3)
-            .with("first_event_ms", toSeconds(m_firstEvent) * 1e3)
+            .with("first_event_ms", toSeconds(m_firstEventLatency) * 1e3)
             .with("running", chosen->running)
             .with("candidates", chosen->candidates)
             .with("reason", m_why.text());
-        m_mayHaveRun = m_mayHaveRun || end == send_end::broken || end == send_end::failed;
-        if (end == send_end::answered || end == send_end::callerLeft || !maySendAgain(end)) {
+        m_mayHaveRun = m_mayHaveRun || outcome == attempt_outcome::incomplete || outcome == attempt_outcome::failed;
+        if (outcome == attempt_outcome::answered || outcome == attempt_outcome::callerDisconnected
+            || !mayRetry(outcome)) {
             break;
         }
-        m_tried.insert(server_loads::incarnationId(*chosen->server));
+        m_triedServers.insert(server_loads::incarnationId(*chosen->server));
     }
-    if (end == send_end::callerLeft) {
-        logEnd("caller left", 0);
+    if (outcome == attempt_outcome::callerDisconnected) {
+        logCompletion("caller left", 0);
         if (!m_exchange.answered()) {
             m_exchange.drop();
         }
-    } else if (end != send_end::answered) {
-        co_await giveUp();
+    } else if (outcome != attempt_outcome::answered) {
+        co_await answerFailure();
     }
 }
 
-/// A server for the next send; nothing, with the reason in m_why, where there is none or the request is refused.
-auto gateway_call::choose() -> asio::awaitable<std::optional<chosen_server>>
+/// Chooses the server for the next attempt. Returns nothing if there is none or the request is refused; before the
+/// first attempt the reason is stored in m_why.
+auto gateway_call::chooseServer() -> asio::awaitable<std::optional<chosen_server>>
 {
     auto why = last_reason();
     auto chosen = std::optional<chosen_server>();
     if (m_service->engine && m_route.carriesPrompt) {
-        chosen = co_await chooseForPrompt(why);
+        chosen = co_await chooseEngineForPrompt(why);
     } else {
-        chosen = choosePlainServer(m_state, *m_service, m_tried, system_clock_source().now(), why);
+        chosen = choosePlainServer(m_state, *m_service, m_triedServers, system_clock_source().now(), why);
     }
-    if (!chosen && m_sends == 0) {
+    if (!chosen && m_sendCount == 0) {
         m_why = why;
     }
     co_return chosen;
 }
 
-auto gateway_call::chooseForPrompt(last_reason &why) -> asio::awaitable<std::optional<chosen_server>>
+auto gateway_call::chooseEngineForPrompt(last_reason &why) -> asio::awaitable<std::optional<chosen_server>>
 {
     const auto query = placement_query{ .service = m_service->name,
                                         .part = shardOf(m_state.servers.usable(m_service->name), m_request.prompt),
                                         .prompt = m_request.prompt,
                                         .account = m_accountId,
                                         .objective = m_route.latencyObjective,
-                                        .failed = m_tried,
-                                        .alreadySent = m_sends > 0 };
+                                        .failed = m_triedServers,
+                                        .alreadySent = m_sendCount > 0 };
     auto decision = co_await m_dispatch.decide(query, why);
     if (decision && decision->chosen) {
         co_return std::move(decision->chosen);
     }
     if (query.alreadySent) {
-        // Work that was begun goes on wherever it can.
-        co_return chooseEngine(m_state, *m_service, {}, m_request.prompt, m_tried, system_clock_source().now(), why);
+        // A request that was already sent to a server is not refused here: its retry may go to any engine of the
+        // service.
+        co_return chooseEngine(m_state, *m_service, {}, m_request.prompt, m_triedServers, system_clock_source().now(),
+                               why);
     }
     co_return std::nullopt;
 }
 
-auto gateway_call::maySendAgain(send_end end) -> bool
+auto gateway_call::mayRetry(attempt_outcome outcome) -> bool
 {
-    if (timeLeft() <= answerMargin || m_control->cancelled()) {
+    if (remainingTime() <= answerMargin || m_control->cancelled()) {
         return false;
     }
-    if (end == send_end::notSent) {
+    if (outcome == attempt_outcome::notSent) {
         return true;
     }
-    const auto repeatable = end == send_end::notRun || m_route.mayRetry();
-    return repeatable && m_sends < m_route.maxAttempts
-        && m_state.repeatsOf(m_service->name).take(system_clock_source().now());
+    const auto isSafeToRetry = outcome == attempt_outcome::notRun || m_route.mayRetry();
+    return isSafeToRetry && m_sendCount < m_route.maxAttempts
+        && m_state.retryBudgetFor(m_service->name).take(system_clock_source().now());
 }
 
-auto gateway_call::sendOnce(const chosen_server &chosen) -> asio::awaitable<send_end>
+auto gateway_call::sendAttempt(const chosen_server &chosen) -> asio::awaitable<attempt_outcome>
 {
     auto why = last_reason();
-    // Counted from the decision on, so that the next one sees it.
-    auto load = load_guard(m_state.loads, chosen);
+    // The attempt counts before it connects, so that the next decision takes it into account.
+    auto load = load_reservation(m_state.loads, chosen);
     auto connection = co_await openConnection(chosen, why);
     if (!connection) {
         m_why = why;
         noteServerFailed(*chosen.server);
-        co_return m_control->cancelled() ? send_end::callerLeft : send_end::notSent;
+        co_return m_control->cancelled() ? attempt_outcome::callerDisconnected : attempt_outcome::notSent;
     }
-    if (!mayStillSend(chosen, why)) {
-        m_state.connections.giveBack(std::move(connection), m_state.idleLimit(*m_service));
+    if (!canStillSend(chosen, why)) {
+        m_state.connections.giveBack(std::move(connection), m_state.maxIdleConnections(*m_service));
         m_why = why;
-        co_return why.kind == failure_kind::cancelled ? send_end::callerLeft : send_end::notSent;
-    }
-    auto sending = send_state{ .chosen = chosen,
-                               .connection = connection,
-                               .load = load,
-                               .splitter = {},
-                               .sentAt = system_clock_source().now(),
-                               .gotEvent = false };
-    m_firstEvent = {};
-    const auto listening = m_control->addListener([connection] { connection->interrupt(); });
-    if (m_sends++ == 0) {
+        co_return why.kind == failure_kind::cancelled ? attempt_outcome::callerDisconnected : attempt_outcome::notSent;
+    }
+    auto attempt = send_attempt{ .chosen = chosen,
+                                 .connection = connection,
+                                 .load = load,
+                                 .splitter = {},
+                                 .sentAt = system_clock_source().now(),
+                                 .receivedEvent = false };
+    m_firstEventLatency = {};
+    const auto listener = m_control->addListener([connection] { connection->interrupt(); });
+    if (m_sendCount++ == 0) {
         if (m_route.carriesPrompt) {
-            m_state.accounts.noteStarted(m_accountId, cost(), system_clock_source().now());
+            m_state.accounts.noteStarted(m_accountId, costTokens(), system_clock_source().now());
         }
-        m_state.repeatsOf(m_service->name).noteFirstAttempt(system_clock_source().now());
+        m_state.retryBudgetFor(m_service->name).noteFirstAttempt(system_clock_source().now());
     }
     if (!m_request.prompt.parts.empty()) {
-        m_state.unreportedReads.push_back(
-            m_state.noteRead(server_loads::incarnationId(*chosen.server), m_request.prompt));
+        m_state.unreportedPrefills.push_back(
+            m_state.recordPrefill(server_loads::incarnationId(*chosen.server), m_request.prompt));
     }
-    auto end = co_await exchangeWith(sending);
-    m_control->removeListener(listening);
-    if (m_control->cancelled() && end != send_end::answered) {
+    auto outcome = co_await sendAndReadAnswer(attempt);
+    m_control->removeListener(listener);
+    if (m_control->cancelled() && outcome != attempt_outcome::answered) {
         connection->interrupt();
-        co_return send_end::callerLeft;
+        co_return attempt_outcome::callerDisconnected;
     }
-    if (end == send_end::answered || end == send_end::notRun || end == send_end::failed) {
-        m_state.connections.giveBack(std::move(connection), m_state.idleLimit(*m_service));
+    if (outcome == attempt_outcome::answered || outcome == attempt_outcome::notRun
+        || outcome == attempt_outcome::failed) {
+        m_state.connections.giveBack(std::move(connection), m_state.maxIdleConnections(*m_service));
     } else {
         connection->interrupt();
     }
-    co_return end;
+    co_return outcome;
 }
 
 auto gateway_call::openConnection(const chosen_server &chosen, last_reason &why)
@@ -266,26 +271,28 @@
 {
     const auto executor = co_await asio::this_coro::executor;
     const auto &address = chosen.server->address;
-    // Whether a kept connection still works shows only after a request was sent on it.
+    // The server may have closed an idle connection, which shows only after the request was sent; so requests that may
+    // be executed at most once get a new connection.
     if (m_route.mayRetry() || m_route.kind == route_kind::eventStream) {
-        if (auto kept = m_state.connections.take(address, executor)) {
-            co_return kept;
+        if (auto idle = m_state.connections.take(address, executor)) {
+            co_return idle;
         }
     }
-    auto fresh = std::make_shared<http_connection>(executor, address);
-    const auto limit = std::min<duration>(connectLimit, timeLeft());
-    const auto listening = m_control->addListener([fresh] { fresh->interrupt(); });
-    const auto connected = co_await fresh->connect(limit, why);
-    m_control->removeListener(listening);
-    co_return connected ? fresh : nullptr;
+    auto connection = std::make_shared<http_connection>(executor, address);
+    const auto timeout = std::min<duration>(connectTimeout, remainingTime());
+    const auto listener = m_control->addListener([connection] { connection->interrupt(); });
+    const auto connected = co_await connection->connect(timeout, why);
+    m_control->removeListener(listener);
+    co_return connected ? connection : nullptr;
 }
 
-/// Whether what was decided before the connection stood still holds: the machine may have been suspended since.
-auto gateway_call::mayStillSend(const chosen_server &chosen, last_reason &why) -> bool
+/// Checks again, once the connection is open, whether the request may be sent: meanwhile the caller, the keys or the
+/// server may have changed, above all if the machine was suspended.
+auto gateway_call::canStillSend(const chosen_server &chosen, last_reason &why) -> bool
 {
     if (m_control->cancelled() || m_exchange.callerIsGone()) {
         why.fail(failure_kind::cancelled, "send request", chosen.server->id, "the caller left");
-    } else if (timeLeft() <= answerMargin) {
+    } else if (remainingTime() <= answerMargin) {
         why.fail(failure_kind::deadlineExceeded, "send request", chosen.server->id, "no time left");
     } else if (!m_route.anonymous && !m_state.keys.isFresh(boot_clock::now())) {
         why.fail(failure_kind::unavailable, "send request", chosen.server->id, "keys not confirmed lately");
@@ -299,177 +306,178 @@
 
 auto gateway_call::makeUpstreamRequest(const chosen_server &chosen) const -> http_connection::request
 {
-    const auto &asked = m_exchange.request();
+    const auto &original = m_exchange.request();
     auto request = http_connection::request();
     request.version(11);
-    request.method_string(asked.method_string());
-    request.target(asked.target());
-    auto marks = platform::forwarded_marks();
-    marks.serverId = chosen.server->id;
-    marks.account = m_account;
-    marks.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(timeLeft());
-    if (m_lastEvent != m_request.lastEventId) {
-        marks.resumeAfter = m_lastEvent;
-    }
-    platform::copyRequestFields(asked.base(), marks, request);
-    request.body() = asked.body();
-    const auto hadBody = asked.find(http::field::content_length) != asked.end() || asked.chunked();
+    request.method_string(original.method_string());
+    request.target(original.target());
+    auto added = platform::forwarding_headers();
+    added.serverId = chosen.server->id;
+    added.account = m_account;
+    added.remainingTime = std::chrono::duration_cast<std::chrono::milliseconds>(remainingTime());
+    if (m_lastEventId != m_request.lastEventId) {
+        added.resumeAfter = m_lastEventId;
+    }
+    platform::copyRequestFields(original.base(), added, request);
+    request.body() = original.body();
+    const auto hadBody = original.find(http::field::content_length) != original.end() || original.chunked();
     if (!request.body().empty() || hadBody) {
         request.content_length(request.body().size());
     }
     return request;
 }
 
-auto gateway_call::exchangeWith(send_state &sending) -> asio::awaitable<send_end>
+auto gateway_call::sendAndReadAnswer(send_attempt &attempt) -> asio::awaitable<attempt_outcome>
 {
-    const auto &server = *sending.chosen.server;
-    const auto request = makeUpstreamRequest(sending.chosen);
-    if (!co_await sending.connection->send(request, timeLeft(), m_why) || !co_await readOwnHead(sending)) {
+    const auto &server = *attempt.chosen.server;
+    const auto request = makeUpstreamRequest(attempt.chosen);
+    if (!co_await attempt.connection->send(request, remainingTime(), m_why) || !co_await readMatchingHead(attempt)) {
         noteServerFailed(server);
-        co_return send_end::broken;
+        co_return attempt_outcome::incomplete;
     }
-    const auto &head = sending.connection->head();
+    const auto &head = attempt.connection->head();
     const auto idle = platform::idleTimeout(head);
-    sending.connection->setIdleLimit(idle ? duration(*idle) - idleMargin : duration(unnamedIdleLimit));
+    attempt.connection->setIdleLimit(idle ? duration(*idle) - idleMargin : duration(defaultIdleTimeout));
     if (platform::saysNotRun(head)) {
         if (head.result() == http::status::misdirected_request) {
             m_state.servers.noteMisdirected(server);
         }
         const auto status = head.result_int();
-        co_await sending.connection->readRest(wholeAnswerBytes, timeLeft(), m_why);
+        co_await attempt.connection->readRest(maxBufferedAnswerBytes, remainingTime(), m_why);
         m_why.fail(failure_kind::overloaded, "read answer", server.id,
                    "the server did not run it: status " + std::to_string(status));
         noteServerFailed(server);
-        co_return send_end::notRun;
+        co_return attempt_outcome::notRun;
     }
     if (isSuccess(head) && isEventStream(head)) {
-        co_return co_await relayStream(sending);
+        co_return co_await relayStream(attempt);
     }
-    co_return co_await relayWhole(sending);
+    co_return co_await relayCompleteAnswer(attempt);
 }
 
-/// Reads heads until that of this request comes: a late answer to an earlier one may stand before it.
-auto gateway_call::readOwnHead(send_state &sending) -> asio::awaitable<bool>
+/// Reads answers until the head of this request's answer: a late answer to an earlier request may precede it on the
+/// connection.
+auto gateway_call::readMatchingHead(send_attempt &attempt) -> asio::awaitable<bool>
 {
     while (true) {
-        if (!co_await sending.connection->readHead(timeLeft(), m_why)) {
+        if (!co_await attempt.connection->readHead(remainingTime(), m_why)) {
             co_return false;
         }
-        const auto answered = platform::answeredRequest(sending.connection->head());
-        if (answered.empty() || answered == m_request.id) {
+        const auto answeredId = platform::answeredRequestId(attempt.connection->head());
+        if (answeredId.empty() || answeredId == m_request.id) {
             co_return true;
         }
         log_line(log_level::warning, "stray_answer")
             .with("request", m_request.id)
-            .with("answered", answered)
-            .with("server", sending.chosen.server->id);
-        if (!co_await sending.connection->readRest(wholeAnswerBytes, timeLeft(), m_why)) {
+            .with("answered", answeredId)
+            .with("server", attempt.chosen.server->id);
+        if (!co_await attempt.connection->readRest(maxBufferedAnswerBytes, remainingTime(), m_why)) {
             co_return false;
         }
     }
 }
 
-auto gateway_call::relayWhole(send_state &sending) -> asio::awaitable<send_end>
+auto gateway_call::relayCompleteAnswer(send_attempt &attempt) -> asio::awaitable<attempt_outcome>
 {
-    const auto body = co_await sending.connection->readRest(wholeAnswerBytes, timeLeft(), m_why);
+    const auto body = co_await attempt.connection->readRest(maxBufferedAnswerBytes, remainingTime(), m_why);
     if (!body) {
-        noteServerFailed(*sending.chosen.server);
-        co_return send_end::broken;
+        noteServerFailed(*attempt.chosen.server);
+        co_return attempt_outcome::incomplete;
     }
-    const auto &from = sending.connection->head();
+    const auto &from = attempt.connection->head();
     const auto status = from.result_int();
     const auto isFailure = http::to_status_class(from.result()) == http::status_class::server_error;
-    if (isFailure || promisesNotRun(status) || m_streaming) {
-        m_why.fail(failure_kind::unknownOutcome, "read answer", sending.chosen.server->id,
+    if (isFailure || impliesNotExecuted(status) || m_streaming) {
+        m_why.fail(failure_kind::unknownOutcome, "read answer", attempt.chosen.server->id,
                    "status " + std::to_string(status));
-        noteServerFailed(*sending.chosen.server);
-        const auto goesOn = m_streaming || (m_route.mayRetry() && m_sends < m_route.maxAttempts);
-        // A failure that the caller would take for a promise is not passed on: the request has run.
-        if (goesOn || promisesNotRun(status)) {
-            co_return send_end::failed;
+        noteServerFailed(*attempt.chosen.server);
+        const auto mayContinue = m_streaming || (m_route.mayRetry() && m_sendCount < m_route.maxAttempts);
+        // A status that implies that the request was not executed is not forwarded: the server may have executed it.
+        if (mayContinue || impliesNotExecuted(status)) {
+            co_return attempt_outcome::failed;
         }
     } else {
-        m_state.loads.noteSuccess(*sending.chosen.server);
+        m_state.loads.noteSuccess(*attempt.chosen.server);
     }
     auto head = http::response_header<>();
     head.result(status);
     platform::copyAnswerFields(from, head);
     noteAnswered(status);
     co_await m_exchange.relayWhole(head, *body);
-    co_return send_end::answered;
+    co_return attempt_outcome::answered;
 }
 
-auto gateway_call::relayStream(send_state &sending) -> asio::awaitable<send_end>
+auto gateway_call::relayStream(send_attempt &attempt) -> asio::awaitable<attempt_outcome>
 {
     while (true) {
-        const auto part = co_await sending.connection->readPart(timeLeft(), m_why);
+        const auto part = co_await attempt.connection->readPart(remainingTime(), m_why);
         if (!part) {
-            noteServerFailed(*sending.chosen.server);
-            co_return send_end::broken;
+            noteServerFailed(*attempt.chosen.server);
+            co_return attempt_outcome::incomplete;
         }
         if (part->empty()) {
             break;
         }
-        const auto end = co_await relayEvents(sending, *part);
-        if (end != send_end::answered) {
-            co_return end;
+        const auto outcome = co_await relayEvents(attempt, *part);
+        if (outcome != attempt_outcome::answered) {
+            co_return outcome;
         }
     }
-    if (sending.splitter.hasPartialEvent()) {
-        m_why.fail(failure_kind::protocolViolation, "read answer", sending.chosen.server->id, "ends within an event");
-        co_return send_end::broken;
+    if (attempt.splitter.hasPartialEvent()) {
+        m_why.fail(failure_kind::protocolViolation, "read answer", attempt.chosen.server->id, "ends within an event");
+        co_return attempt_outcome::incomplete;
     }
-    startStreaming(sending);
-    m_state.loads.noteSuccess(*sending.chosen.server);
-    noteAnswered(sending.connection->status());
+    startStreaming(attempt);
+    m_state.loads.noteSuccess(*attempt.chosen.server);
+    noteAnswered(attempt.connection->status());
     co_await m_exchange.relayEnd();
-    co_return send_end::answered;
+    co_return attempt_outcome::answered;
 }
 
-/// The caller's answer takes the head of the first server that it comes from.
-auto gateway_call::startStreaming(const send_state &sending) -> void
+/// Forwards the head of the answer, unless that of an earlier attempt was already forwarded.
+auto gateway_call::startStreaming(const send_attempt &attempt) -> void
 {
     if (m_streaming) {
         return;
     }
     auto head = http::response_header<>();
-    head.result(sending.connection->head().result_int());
-    platform::copyAnswerFields(sending.connection->head(), head);
+    head.result(attempt.connection->head().result_int());
+    platform::copyAnswerFields(attempt.connection->head(), head);
     m_exchange.relayHead(head);
     m_streaming = true;
 }
 
-/// Passes whole events on; answered means that the stream goes on.
-auto gateway_call::relayEvents(send_state &sending, std::string_view bytes) -> asio::awaitable<send_end>
+/// Forwards complete events to the caller. Returns answered if the stream can continue.
+auto gateway_call::relayEvents(send_attempt &attempt, std::string_view bytes) -> asio::awaitable<attempt_outcome>
 {
-    auto piece = std::string();
-    for (auto &event : sending.splitter.feed(bytes)) {
-        if (!sending.gotEvent) {
-            sending.gotEvent = true;
-            m_firstEvent = system_clock_source().now() - sending.sentAt;
-            m_state.firstEvents.observe(m_firstEvent);
-            sending.load.noteRead();
+    auto events = std::string();
+    for (auto &event : attempt.splitter.feed(bytes)) {
+        if (!attempt.receivedEvent) {
+            attempt.receivedEvent = true;
+            m_firstEventLatency = system_clock_source().now() - attempt.sentAt;
+            m_state.firstEventLatency.observe(m_firstEventLatency);
+            attempt.load.notePrefillDone();
         }
-        if (event.id && m_lastEvent && *event.id <= *m_lastEvent) {
-            continue; // The caller has it from the run before.
+        if (event.id && m_lastEventId && *event.id <= *m_lastEventId) {
+            continue; // The caller has received it in an earlier attempt.
         }
-        if (event.id && m_lastEvent && *event.id != *m_lastEvent + 1) {
-            m_why.fail(failure_kind::protocolViolation, "read answer", sending.chosen.server->id,
+        if (event.id && m_lastEventId && *event.id != *m_lastEventId + 1) {
+            m_why.fail(failure_kind::protocolViolation, "read answer", attempt.chosen.server->id,
                        "an event is missing");
-            co_return send_end::broken;
+            co_return attempt_outcome::incomplete;
         }
-        m_lastEvent = event.id ? event.id : m_lastEvent;
-        piece += event.bytes;
+        m_lastEventId = event.id ? event.id : m_lastEventId;
+        events += event.bytes;
     }
-    if (piece.empty()) {
-        co_return send_end::answered;
+    if (events.empty()) {
+        co_return attempt_outcome::answered;
     }
-    startStreaming(sending);
-    co_return co_await m_exchange.relayPiece(piece) ? send_end::answered : send_end::callerLeft;
+    startStreaming(attempt);
+    co_return co_await m_exchange.relayPiece(events) ? attempt_outcome::answered : attempt_outcome::callerDisconnected;
 }
 
-/// A send failed, for the reason in m_why, in a way that may tell of the server. Where the caller left, it tells
-/// nothing.
+/// Counts a failed attempt, with the reason in m_why, as a failure of the server. If the caller has disconnected, the
+/// failure says nothing about the server and is not counted.
 auto gateway_call::noteServerFailed(const listed_server &server) -> void
 {
     if (m_control->cancelled()) {
@@ -483,11 +491,11 @@
         .with("reason", m_why.text());
 }
 
-auto gateway_call::giveUp() -> asio::awaitable<void>
+auto gateway_call::answerFailure() -> asio::awaitable<void>
 {
     if (m_streaming) {
-        m_state.cut.add();
-        logEnd("cut: " + m_why.text(), 200);
+        m_state.truncatedStreams.add();
+        logCompletion("cut: " + m_why.text(), 200);
         m_exchange.abandonEvents();
         co_return;
     }
@@ -501,41 +509,41 @@
 
 auto gateway_call::refuse(unsigned status, std::string_view reason) -> asio::awaitable<void>
 {
-    logEnd(reason, status);
+    logCompletion(reason, status);
     m_state.counters.at("marjoramloom_refused_total", "status=\"" + std::to_string(status) + "\"").add();
     auto answer = makeErrorReply(m_state, m_request, status, reason);
     co_await m_exchange.reply(std::move(answer));
 }
 
-auto gateway_call::timeLeft() const -> duration
+auto gateway_call::remainingTime() const -> duration
 {
-    auto limit = duration(m_route.timeout);
-    if (m_request.callerLimit) {
-        limit = std::min<duration>(limit, *m_request.callerLimit);
+    auto timeout = duration(m_route.timeout);
+    if (m_request.callerTimeout) {
+        timeout = std::min<duration>(timeout, *m_request.callerTimeout);
     }
-    const auto passed = boot_clock::now() - m_request.arrived;
-    return std::max<duration>(limit - passed - answerMargin, duration::zero());
+    const auto elapsed = boot_clock::now() - m_request.arrived;
+    return std::max<duration>(timeout - elapsed - answerMargin, duration::zero());
 }
 
 auto gateway_call::noteAnswered(unsigned status) -> void
 {
-    m_state.answered.add();
-    m_state.answers.observe(boot_clock::now() - m_request.arrived);
-    logEnd("answered", status);
+    m_state.answeredRequests.add();
+    m_state.answerLatency.observe(boot_clock::now() - m_request.arrived);
+    logCompletion("answered", status);
 }
 
-auto gateway_call::logEnd(std::string_view outcome, unsigned status) const -> void
+auto gateway_call::logCompletion(std::string_view outcome, unsigned status) const -> void
 {
-    const auto passed = std::chrono::duration_cast<std::chrono::milliseconds>(boot_clock::now() - m_request.arrived);
+    const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(boot_clock::now() - m_request.arrived);
     log_line(log_level::info, "request")
         .with("request", m_request.id)
         .with("route", m_route.name)
         .with("account", m_account)
         .with("status", status)
         .with("outcome", outcome)
-        .with("sends", m_sends)
+        .with("sends", m_sendCount)
         .with("configuration", m_routes->version())
-        .with("ms", passed.count());
+        .with("ms", elapsed.count());
 }
 
 } // namespace marjoramloom
--- a/src/gateway/gateway_handler.cpp
+++ b/src/gateway/gateway_handler.cpp
@@ -37,9 +37,9 @@
     }
     request->arrived = boot_clock::now();
     if (exchange.callerIsGone()) {
-        // A router that falls behind reads requests late; those that nobody waits for any more must not hold it up
-        // further.
-        m_state.abandoned.add();
+        // An overloaded router reads requests late. Requests whose callers have disconnected are dropped, so that they
+        // do not delay others further.
+        m_state.abandonedRequests.add();
         log_line(log_level::info, "caller_gone").with("request", request->id);
         exchange.drop();
         co_return;
@@ -47,12 +47,12 @@
     if (m_state.stopping) {
         exchange.closeAfterwards();
     }
-    if (m_state.lag.isOverloaded(system_clock_source().now())) {
+    if (m_state.loopDelay.isOverloaded(system_clock_source().now())) {
         exchange.closeAfterwards();
         co_await refuse(exchange, *request, unavailable, "this router is behind with its work");
         co_return;
     }
-    if (m_state.refusing) {
+    if (m_state.rejectingRequests) {
         co_await refuse(exchange, *request, unavailable, "this router is stopping");
         co_return;
     }
@@ -72,18 +72,18 @@
             co_await refuse(exchange, *request, unavailable, "keys not confirmed lately");
             co_return;
         }
-        const auto *holder = request->key ? routes->findAccount(*request->key) : nullptr;
-        if (holder == nullptr) {
+        const auto *keyAccount = request->key ? routes->findAccount(*request->key) : nullptr;
+        if (keyAccount == nullptr) {
             co_await refuse(exchange, *request, unauthorized, "unknown key");
             co_return;
         }
-        account = holder->name;
+        account = keyAccount->name;
     }
-    co_await carryOut(exchange, std::move(*request), *route, std::move(account));
+    co_await forward(exchange, std::move(*request), *route, std::move(account));
 }
 
-auto gateway_handler::carryOut(http_exchange &exchange, routed_request request, const route_rule &route,
-                               std::string account) -> asio::awaitable<void>
+auto gateway_handler::forward(http_exchange &exchange, routed_request request, const route_rule &route,
+                              std::string account) -> asio::awaitable<void>
 {
     using namespace asio::experimental::awaitable_operators;
     auto call =
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -4,7 +4,7 @@
 #include "marjoramloom/gateway/gateway_handler.h"
 #include "marjoramloom/gateway/load_exchange.h"
 #include "marjoramloom/gateway/platform_feed.h"
-#include "marjoramloom/gateway/router_announcer.h"
+#include "marjoramloom/gateway/router_discovery.h"
 #include "marjoramloom/gateway/status_handler.h"
 #include "marjoramloom/gateway/store_relay.h"
 #include "marjoramloom/peer/member.h"
@@ -26,27 +26,30 @@
 namespace {
 
 constexpr auto tickPeriod = std::chrono::milliseconds(200);
-/// The balancer asks once a second and takes a router out after two misses; new connections come until then.
-constexpr auto acceptAfterStop = std::chrono::milliseconds(2'600);
-constexpr auto drainPoll = std::chrono::milliseconds(50);
-/// The process ends this long before it would be killed.
-constexpr auto graceMargin = std::chrono::milliseconds(300);
+/// The load balancer checks the readiness once a second and removes a router after two failed checks, so new
+/// connections may come for this long after the stop signal.
+constexpr auto acceptTimeAfterStop = std::chrono::milliseconds(2'600);
+constexpr auto drainPollPeriod = std::chrono::milliseconds(50);
+/// The process exits this long before it would be killed.
+constexpr auto gracePeriodMargin = std::chrono::milliseconds(300);
 
-/// A waiting call of the store that shows no change proves that keys are in force; one may be lost.
-constexpr auto proofsPerLifetime = 3;
-/// A store that says nothing for longer than this and a slow answer is taken to be away, see platform_feed.
-constexpr auto longestWatchWait = std::chrono::milliseconds(1'500);
-/// Time that the store may take beyond the wait that it was asked for.
-constexpr auto slowestAnswer = std::chrono::milliseconds(700);
+/// Each long poll that ends without a change validates the keys. Several fit into the keys' lifetime, so that one may
+/// be lost.
+constexpr auto validationsPerLifetime = 3;
+/// Longest wait of a long poll. The store counts as lost after this time and that of a slow answer, see
+/// platform_feed::SILENCE_LIMIT.
+constexpr auto maxWatchWait = std::chrono::milliseconds(1'500);
+/// Time that the store may take to answer beyond the requested wait.
+constexpr auto maxAnswerDelay = std::chrono::milliseconds(700);
 
 auto storeOptions(const settings &config) -> store_options
 {
     auto options = store_options();
     options.addresses = config.platform;
     options.timeout = config.platformTimeout;
-    options.watchWait = std::min(longestWatchWait, config.gateway->keyLifetime / proofsPerLifetime);
+    options.watchWait = std::min(maxWatchWait, config.gateway->keyLifetime / validationsPerLifetime);
     options.redialsWatches = false;
-    options.watchSilence = options.watchWait + slowestAnswer;
+    options.watchSilence = options.watchWait + maxAnswerDelay;
     return options;
 }
 
@@ -57,9 +60,9 @@
              .cores = config.gateway->cores };
 }
 
-/// Part of the file descriptors that callers' idle connections may take: a caller with much traffic opens thousands,
-/// and each request needs one more, to its backend server.
-constexpr auto keptPart = 0.4;
+/// Fraction of the file descriptors for callers' idle connections. A caller with much traffic opens thousands of
+/// connections, and each running request needs another descriptor for the connection to its backend server.
+constexpr auto idleConnectionFraction = 0.4;
 
 auto httpLimits(const caller_limits &limits, const gateway_settings &settings) -> http_limits
 {
@@ -67,22 +70,24 @@
              .headerBytes = limits.headerBytes,
              .headerTimeout = limits.headerTimeout,
              .idleTimeout = limits.idleTimeout,
-             .keptConnections = static_cast<std::size_t>(settings.descriptors * keptPart) };
+             .keptConnections = static_cast<std::size_t>(settings.maxFileDescriptors * idleConnectionFraction) };
 }
 
 } // namespace
 
-/// All parts of the process, in the order in which they depend on each other.
-struct gateway_process::parts
+/// All components of the process, in the order of their dependencies.
+struct gateway_process::components
 {
-    explicit parts(settings given);
+    explicit components(settings given);
 
+    /// Joins the fleet of routers and keeps discovering others. Does not return.
     auto join() -> asio::awaitable<void>;
     auto tickLoop() -> asio::awaitable<void>;
-    auto measureLag() -> asio::awaitable<void>;
+    auto measureLoopDelay() -> asio::awaitable<void>;
     auto waitForStop() -> asio::awaitable<void>;
     auto waitForReload() -> asio::awaitable<void>;
     auto reload() -> void;
+    /// Stops accepting connections and waits for running requests, up to the grace period.
     auto drain() -> asio::awaitable<void>;
     auto refreshReadiness() -> void;
 
@@ -93,76 +98,75 @@
     gateway_state state;
     store_client store;
     load_exchange exchange;
-    router_announcer announcer;
-    gateway_handler callers;
-    status_handler status;
+    router_discovery discovery;
+    gateway_handler callerHandler;
+    status_handler statusHandler;
     std::shared_ptr<http_server<gateway_handler>> callerServer;
     std::shared_ptr<http_server<status_handler>> statusServer;
     platform_feed feed;
     store_relay relay;
 };
 
-gateway_process::parts::parts(settings given)
+gateway_process::components::components(settings given)
     : config(std::move(given))
     , state(*config.gateway, identityOf(config), counters, std::random_device()())
     , store(context.get_executor(), storeOptions(config), counters)
     , exchange(context.get_executor(), state, identityOf(config), makeIncarnation())
-    , announcer(context.get_executor(), store, config.instance, identityOf(config),
-                [this](router_identity found) { exchange.addRouter(std::move(found)); })
-    , callers(state, exchange.dispatch())
-    , status(ready, counters)
-    , callerServer(std::make_shared<http_server<gateway_handler>>(context, callers, counters, "callers", http_limits(),
-                                                                  session_concurrency::oneThread))
-    , statusServer(std::make_shared<http_server<status_handler>>(context, status, counters, "operators", http_limits(),
-                                                                 session_concurrency::oneThread))
+    , discovery(context.get_executor(), store, config.instance, identityOf(config),
+                [this](router_identity identity) { exchange.addRouter(std::move(identity)); })
+    , callerHandler(state, exchange.dispatch())
+    , statusHandler(ready, counters)
+    , callerServer(std::make_shared<http_server<gateway_handler>>(context, callerHandler, counters, "callers",
+                                                                  http_limits(), session_concurrency::oneThread))
+    , statusServer(std::make_shared<http_server<status_handler>>(context, statusHandler, counters, "operators",
+                                                                 http_limits(), session_concurrency::oneThread))
     , feed(context.get_executor(), store, state,
            { .onRoutes = [this] { callerServer->setLimits(httpLimits(state.routes->limits(), state.settings)); },
-             .onNews =
+             .onStoreChange =
                  [this] {
-                     relay.tellFollowers();
+                     relay.notifyFollowers();
                  } })
     , relay(context.get_executor(), feed, state,
-            { .question = [this](auto router, const auto &question) { exchange.sendStoreQuery(router, question); },
-              .news =
-                  [this](auto router, const auto &news) {
-                      exchange.sendStoreUpdate(router, news);
+            { .query = [this](auto router, const auto &query) { exchange.sendStoreQuery(router, query); },
+              .update =
+                  [this](auto router, const auto &update) {
+                      exchange.sendStoreUpdate(router, update);
                   } })
 {
-    exchange.setStoreHandlers(
-        { .onQuestion = [this](auto router, const auto &question) { relay.answer(router, question); },
-          .onNews =
-              [this](const auto &news) {
-                  relay.take(news);
-              } });
-    callerServer->setGate([this] { return !state.lag.isOverloaded(system_clock_source().now()); });
+    exchange.setStoreHandlers({ .onQuestion = [this](auto router, const auto &query) { relay.onQuery(router, query); },
+                                .onNews =
+                                    [this](const auto &update) {
+                                        relay.onUpdate(update);
+                                    } });
+    callerServer->setGate([this] { return !state.loopDelay.isOverloaded(system_clock_source().now()); });
     counters.setGauge("marjoramloom_log_lines_dropped", "", [] { return static_cast<double>(droppedLogLines()); });
 }
 
-auto gateway_process::parts::refreshReadiness() -> void
+auto gateway_process::components::refreshReadiness() -> void
 {
-    const auto holdsKeys = state.keys.isFresh(boot_clock::now());
-    const auto isBehind = state.lag.shouldRefuseConnections(system_clock_source().now());
-    const auto now = state.routes && state.hasServers && !state.stopping && holdsKeys && !isBehind;
-    if (now != ready) {
+    const auto areKeysFresh = state.keys.isFresh(boot_clock::now());
+    const auto isLoopDelayed = state.loopDelay.shouldRefuseConnections(system_clock_source().now());
+    const auto isReady = state.routes && state.hasServers && !state.stopping && areKeysFresh && !isLoopDelayed;
+    if (isReady != ready) {
         log_line(log_level::info, "readiness")
-            .with("ready", now ? "yes" : "no")
+            .with("ready", isReady ? "yes" : "no")
             .with("configured", state.routes && state.hasServers ? "yes" : "no")
-            .with("keys", holdsKeys ? "proved" : "not proved")
-            .with("behind", isBehind ? "yes" : "no")
+            .with("keys", areKeysFresh ? "proved" : "not proved")
+            .with("behind", isLoopDelayed ? "yes" : "no")
             .with("stopping", state.stopping ? "yes" : "no");
     }
-    ready = now;
+    ready = isReady;
 }
 
-auto gateway_process::parts::join() -> asio::awaitable<void>
+auto gateway_process::components::join() -> asio::awaitable<void>
 {
-    co_await announcer.join();
-    relay.noteJoined();
+    co_await discovery.join();
+    relay.noteRoutersKnown();
     log_line(log_level::info, "joined").with("routers", state.roster.size());
-    co_await announcer.lookForOthers();
+    co_await discovery.pollRouters();
 }
 
-auto gateway_process::parts::tickLoop() -> asio::awaitable<void>
+auto gateway_process::components::tickLoop() -> asio::awaitable<void>
 {
     auto timer = asio::steady_timer(context);
     while (true) {
@@ -174,13 +178,13 @@
     }
 }
 
-auto gateway_process::parts::measureLag() -> asio::awaitable<void>
+auto gateway_process::components::measureLoopDelay() -> asio::awaitable<void>
 {
     auto timer = asio::steady_timer(context);
     auto wasOverloaded = false;
     const auto &turnedAway = counters.at("marjoramloom_connections_turned_away_total", "listener=\"callers\"");
     while (true) {
-        const auto isOverloaded = state.lag.isOverloaded(system_clock_source().now());
+        const auto isOverloaded = state.loopDelay.isOverloaded(system_clock_source().now());
         if (isOverloaded != wasOverloaded) {
             wasOverloaded = isOverloaded;
             log_line(log_level::warning, "overload")
@@ -189,12 +193,12 @@
                 .with("connections", callerServer->connections())
                 .with("turned_away", turnedAway.value());
         }
-        timer.expires_at(state.lag.onTimer(system_clock_source().now()));
+        timer.expires_at(state.loopDelay.onTimer(system_clock_source().now()));
         co_await timer.async_wait(asio::use_awaitable);
     }
 }
 
-auto gateway_process::parts::waitForStop() -> asio::awaitable<void>
+auto gateway_process::components::waitForStop() -> asio::awaitable<void>
 {
     auto signals = asio::signal_set(context, SIGTERM, SIGINT);
     co_await signals.async_wait(asio::use_awaitable);
@@ -202,7 +206,7 @@
     context.stop();
 }
 
-auto gateway_process::parts::waitForReload() -> asio::awaitable<void>
+auto gateway_process::components::waitForReload() -> asio::awaitable<void>
 {
     auto signals = asio::signal_set(context, SIGHUP);
     while (true) {
@@ -211,8 +215,9 @@
     }
 }
 
-/// Reads the settings again. What needs new listeners or another platform waits for a restart.
-auto gateway_process::parts::reload() -> void
+/// Reads the settings file again and applies the gateway settings. Changed listening addresses or platform addresses
+/// take effect only after a restart.
+auto gateway_process::components::reload() -> void
 {
     auto why = last_reason();
     const auto next = loadSettings(config.source, why);
@@ -228,21 +233,21 @@
     log_line(log_level::info, "reload").with("outcome", needsRestart ? "taken over but for addresses" : "taken over");
 }
 
-auto gateway_process::parts::drain() -> asio::awaitable<void>
+auto gateway_process::components::drain() -> asio::awaitable<void>
 {
-    const auto deadline = system_clock_source().now() + config.gateway->graceTime - graceMargin;
+    const auto deadline = system_clock_source().now() + config.gateway->gracePeriod - gracePeriodMargin;
     log_line(log_level::info, "stop_begins").with("running", state.running);
     state.stopping = true;
     refreshReadiness();
     asio::co_spawn(
-        context, [this] { return announcer.withdraw(); }, asio::detached);
-    auto timer = asio::steady_timer(context, acceptAfterStop);
+        context, [this] { return discovery.unregister(); }, asio::detached);
+    auto timer = asio::steady_timer(context, acceptTimeAfterStop);
     co_await timer.async_wait(asio::use_awaitable);
-    // What comes later might not be done before the process is ended.
-    state.refusing = true;
+    // Requests that arrive from now on might not finish before the process is killed.
+    state.rejectingRequests = true;
     callerServer->stopAccepting();
     while (callerServer->connections() > 0 && system_clock_source().now() < deadline) {
-        timer.expires_after(drainPoll);
+        timer.expires_after(drainPollPeriod);
         co_await timer.async_wait(asio::use_awaitable);
     }
     exchange.announceStop();
@@ -252,19 +257,19 @@
 }
 
 gateway_process::gateway_process(settings config)
-    : m_parts(std::make_unique<parts>(std::move(config)))
+    : m_components(std::make_unique<components>(std::move(config)))
 {
-    assert(m_parts->config.gateway);
+    assert(m_components->config.gateway);
 }
 
 gateway_process::~gateway_process() = default;
 
 auto gateway_process::start(last_reason &why) -> bool
 {
-    const auto &config = m_parts->config;
-    if (!m_parts->exchange.listen(config.peersListen, why)
-        || !m_parts->statusServer->listen(config.operatorsListen, why)
-        || !m_parts->callerServer->listen(config.callersListen, why)) {
+    const auto &config = m_components->config;
+    if (!m_components->exchange.listen(config.peersListen, why)
+        || !m_components->statusServer->listen(config.operatorsListen, why)
+        || !m_components->callerServer->listen(config.callersListen, why)) {
         return false;
     }
     log_line(log_level::info, "started")
@@ -277,29 +282,29 @@
 
 auto gateway_process::run() -> void
 {
-    auto &all = *m_parts;
+    auto &components = *m_components;
     asio::co_spawn(
-        all.context, [&all] { return all.feed.followConfiguration(); }, asio::detached);
+        components.context, [&components] { return components.feed.followConfiguration(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.feed.followServers(); }, asio::detached);
+        components.context, [&components] { return components.feed.followServers(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.join(); }, asio::detached);
+        components.context, [&components] { return components.join(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.relay.run(); }, asio::detached);
+        components.context, [&components] { return components.relay.run(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.exchange.sendReports(); }, asio::detached);
+        components.context, [&components] { return components.exchange.sendReports(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.exchange.receive(); }, asio::detached);
+        components.context, [&components] { return components.exchange.receive(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.tickLoop(); }, asio::detached);
+        components.context, [&components] { return components.tickLoop(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.measureLag(); }, asio::detached);
+        components.context, [&components] { return components.measureLoopDelay(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.waitForStop(); }, asio::detached);
+        components.context, [&components] { return components.waitForStop(); }, asio::detached);
     asio::co_spawn(
-        all.context, [&all] { return all.waitForReload(); }, asio::detached);
-    all.context.run();
-    log_line(log_level::info, "stopped").with("instance", all.config.instance);
+        components.context, [&components] { return components.waitForReload(); }, asio::detached);
+    components.context.run();
+    log_line(log_level::info, "stopped").with("instance", components.config.instance);
 }
 
 } // namespace marjoramloom
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -15,7 +15,7 @@
         .with("server", server.id)
         .with("service", server.service)
         .with("address", server.address)
-        .with("started", server.startedMs);
+        .with("started", server.startUnixMs);
 }
 
 } // namespace
@@ -36,11 +36,11 @@
     , accounts(fleet)
     , placement(prefill_rate())
     , random(seed)
-    , firstEvents(registry, "marjoramloom_first_event_seconds", "")
-    , answers(registry, "marjoramloom_answer_seconds", "")
-    , answered(registry.at("marjoramloom_answered_total"))
-    , cut(registry.at("marjoramloom_answers_cut_total"))
-    , abandoned(registry.at("marjoramloom_abandoned_total"))
+    , firstEventLatency(registry, "marjoramloom_first_event_seconds", "")
+    , answerLatency(registry, "marjoramloom_answer_seconds", "")
+    , answeredRequests(registry.at("marjoramloom_answered_total"))
+    , truncatedStreams(registry.at("marjoramloom_answers_cut_total"))
+    , abandonedRequests(registry.at("marjoramloom_abandoned_total"))
 {
 }
 
@@ -48,36 +48,37 @@
 {
     settings = given;
     keys.setLifetime(given.keyLifetime);
-    for (auto &[service, budget] : repeats) {
-        budget.setLimits(given.repeats);
+    for (auto &[service, budget] : retryBudgets) {
+        budget.setLimits(given.retryBudgetSettings);
     }
 }
 
-auto gateway_state::noteRead(std::uint64_t server, const prompt_outline &prompt) -> prompt_read
+auto gateway_state::recordPrefill(std::uint64_t server, const prompt_summary &prompt) -> prefill_record
 {
-    auto read = prompt_read{ .server = server, .parts = prompt.parts, .ownTokens = prompt.likelyOutputTokens() };
-    if (!read.parts.empty()) {
-        read.ownTokens += read.parts.back().tokens;
-        read.parts.pop_back();
+    auto record =
+        prefill_record{ .server = server, .parts = prompt.parts, .unsharedTokens = prompt.likelyOutputTokens() };
+    if (!record.parts.empty()) {
+        record.unsharedTokens += record.parts.back().tokens;
+        record.parts.pop_back();
     }
     if (auto *load = loads.find(server)) {
-        load->parts.noteRead(read.parts, read.ownTokens);
+        load->parts.noteRead(record.parts, record.unsharedTokens);
     }
-    return read;
+    return record;
 }
 
-auto gateway_state::idleLimit(const routed_service &service) const -> std::size_t
+auto gateway_state::maxIdleConnections(const routed_service &service) const -> std::size_t
 {
     if (service.connectionLimit == 0) {
         return connection_pool::MAX_IDLE_PER_PEER;
     }
-    const auto part = service.connectionLimit / (2 * roster.size());
-    return std::clamp<std::size_t>(part, 1, connection_pool::MAX_IDLE_PER_PEER);
+    const auto share = service.connectionLimit / (2 * roster.size());
+    return std::clamp<std::size_t>(share, 1, connection_pool::MAX_IDLE_PER_PEER);
 }
 
-auto gateway_state::repeatsOf(const std::string &service) -> gateway_retry_budget &
+auto gateway_state::retryBudgetFor(const std::string &service) -> gateway_retry_budget &
 {
-    return repeats.try_emplace(service, settings.repeats).first->second;
+    return retryBudgets.try_emplace(service, settings.retryBudgetSettings).first->second;
 }
 
 } // namespace marjoramloom
--- a/src/gateway/load_exchange.cpp
+++ b/src/gateway/load_exchange.cpp
@@ -117,7 +117,7 @@
         timer.expires_after(isFullMesh() ? fullMeshReportPeriod : dispatcherReportPeriod);
         co_await timer.async_wait(asio::use_awaitable);
         const auto now = system_clock_source().now();
-        const auto isBusy = m_state.running > 0 || !m_state.unreportedReads.empty();
+        const auto isBusy = m_state.running > 0 || !m_state.unreportedPrefills.empty();
         if (!isBusy && !wasBusy && now - lastSent < idleReportPeriod) {
             continue;
         }
@@ -128,7 +128,7 @@
         } else {
             reportToDispatchers(now);
         }
-        m_state.unreportedReads.clear();
+        m_state.unreportedPrefills.clear();
     }
 }
 
@@ -217,7 +217,7 @@
         account->set_started_tokens(share.startedTokens);
     }
     if (scope.shards.empty()) {
-        for (const auto &read : m_state.unreportedReads) {
+        for (const auto &read : m_state.unreportedPrefills) {
             write(read, *report.add_reads());
         }
     }
@@ -246,7 +246,7 @@
     send(router, datagram);
 }
 
-auto load_exchange::sendStoreQuery(std::uint64_t router, const store_question &question) -> void
+auto load_exchange::sendStoreQuery(std::uint64_t router, const store_query &question) -> void
 {
     auto datagram = wire::RouterDatagram();
     datagram.mutable_question()->set_number(question.number);
@@ -254,7 +254,7 @@
     send(router, datagram);
 }
 
-auto load_exchange::sendStoreUpdate(std::uint64_t router, const store_news &news) -> void
+auto load_exchange::sendStoreUpdate(std::uint64_t router, const store_update &news) -> void
 {
     auto datagram = wire::RouterDatagram();
     write(news, *datagram.mutable_news());
@@ -359,7 +359,7 @@
         const auto read = readPrompt(message);
         auto *load = read ? m_state.loads.find(read->server) : nullptr;
         if (load != nullptr) {
-            load->parts.noteRead(read->parts, read->ownTokens);
+            load->parts.noteRead(read->parts, read->unsharedTokens);
         }
     }
     if (!isFullMesh()) {
--- a/src/gateway/placement_dispatch.cpp
+++ b/src/gateway/placement_dispatch.cpp
@@ -121,7 +121,7 @@
     answer.running = chosen.running;
     answer.candidates = static_cast<std::uint32_t>(chosen.candidates);
     // The engine prefills in order of arrival, so later prompts will find these blocks cached.
-    m_state.noteRead(answer.server, query.prompt);
+    m_state.recordPrefill(answer.server, query.prompt);
     return answer;
 }
 
--- a/src/gateway/platform_feed.cpp
+++ b/src/gateway/platform_feed.cpp
@@ -16,15 +16,16 @@
 
 namespace {
 
-/// Waits between calls that fail.
-constexpr auto retryFirst = std::chrono::milliseconds(100);
-constexpr auto retryLimit = std::chrono::milliseconds(800);
-/// News of leaving servers and revoked keys may take seconds; a tenth of one joins the changes of a fleet that starts.
-constexpr auto dutyPace =
+/// Shortest and longest wait before a failed call is retried.
+constexpr auto firstRetryWait = std::chrono::milliseconds(100);
+constexpr auto maxRetryWait = std::chrono::milliseconds(800);
+/// Throttling of the designated watchers' calls. Updates about draining servers and revoked keys may take seconds; a
+/// period of 100 ms combines the changes of a fleet that starts into fewer calls.
+constexpr auto designatedThrottle =
     watch_pace{ .period = std::chrono::milliseconds(100), .leastRetryWait = std::chrono::milliseconds(0) };
-/// A router that watches in place of others calls less often: the calls of a whole fleet add up when the store goes
-/// away and when it is back, and the routers on duty tell it of the store's return.
-constexpr auto standInPace =
+/// Throttling of a router that watches because it gets no updates. It calls less often, as the calls of a whole fleet
+/// add up when the store is lost and when it returns; the designated watchers report the return to it.
+constexpr auto fallbackThrottle =
     watch_pace{ .period = std::chrono::milliseconds(1'000), .leastRetryWait = std::chrono::milliseconds(2'000) };
 
 auto pause(duration wait) -> asio::awaitable<void>
@@ -36,54 +37,56 @@
 } // namespace
 
 platform_feed::platform_feed(asio::any_io_executor executor, store_client &client, gateway_state &state,
-                             listeners listening)
+                             listeners callbacks)
     : m_executor(executor)
     , m_client(client)
     , m_state(state)
-    , m_listening(std::move(listening))
-    , m_gate(executor, time_point::max())
-    , m_answerGate(executor, time_point::max())
+    , m_listeners(std::move(callbacks))
+    , m_watchStart(executor, time_point::max())
+    , m_storeReturn(executor, time_point::max())
     , m_lastAnswer(system_clock_source().now())
 {
 }
 
-/// Watches a kind from the revision \p known on, and lists it by \p list where that is 0 or no longer kept.
+/// Watches the objects of \p kind for changes after \p revision. Calls \p list first if \p revision is 0, which also
+/// happens when the store no longer has the changes after it.
 template<typename List>
-auto platform_feed::follow(std::string_view kind, List list, watch_callback onEvent, std::uint64_t &known)
+auto platform_feed::watchKind(std::string_view kind, List list, watch_callback onEvent, std::uint64_t &revision)
     -> asio::awaitable<void>
 {
-    auto backoff = retry_backoff(retryFirst, retryLimit, m_state.random());
+    auto backoff = retry_backoff(firstRetryWait, maxRetryWait, m_state.random());
     while (true) {
         co_await waitUntilWatching();
         if (kind != platform::configurationKind) {
-            co_await waitUntilAnswered();
+            co_await waitForStore();
         }
-        const auto answeredBefore = m_lastAnswer;
+        const auto previousAnswer = m_lastAnswer;
         auto end = watch_end::broken;
         auto why = last_reason();
-        if (known == 0 && !co_await list(why)) {
-            onFailure(why);
+        if (revision == 0 && !co_await list(why)) {
+            noteStoreFailure(why);
         } else {
             auto kinds = std::vector<std::string>(1, std::string(kind));
-            end = co_await m_client.watch(std::move(kinds), known, onEvent);
+            end = co_await m_client.watch(std::move(kinds), revision, onEvent);
         }
-        if (m_lastAnswer != answeredBefore) {
+        if (m_lastAnswer != previousAnswer) {
             backoff.reset();
         }
         if (end == watch_end::expired) {
-            known = 0;
+            revision = 0;
         } else if (end == watch_end::broken) {
             co_await pause(backoff.next(m_client.watchPace().leastRetryWait));
         }
     }
 }
 
-/// While the store is away, the watch of the configuration alone tries whether it is back.
-auto platform_feed::waitUntilAnswered() -> asio::awaitable<void>
+/// Waits until the store answers. While it is lost, only the watch of the configuration retries its calls, which saves
+/// those of the other watch.
+auto platform_feed::waitForStore() -> asio::awaitable<void>
 {
     while (m_storeLost) {
         auto error = boost::system::error_code();
-        co_await m_answerGate.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        co_await m_storeReturn.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
 }
 
@@ -91,13 +94,13 @@
 {
     while (!m_watching) {
         auto error = boost::system::error_code();
-        co_await m_gate.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        co_await m_watchStart.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
 }
 
-auto platform_feed::setWatching(bool watching, bool onDuty, time_point now) -> void
+auto platform_feed::setWatching(bool watching, bool isDesignated, time_point now) -> void
 {
-    m_client.setWatchPace(onDuty ? dutyPace : standInPace);
+    m_client.setWatchPace(isDesignated ? designatedThrottle : fallbackThrottle);
     if (watching == m_watching) {
         return;
     }
@@ -105,9 +108,9 @@
     log_line(log_level::info, "store_watch").with("watches", watching ? "yes" : "no");
     if (watching) {
         m_lastAnswer = now;
-        // Read at once: a watch proves that the keys are in force only when its first wait is over.
-        m_configurationSeen = 0;
-        m_gate.cancel();
+        // The configuration is listed at once: a watch validates the keys only when its first long poll ends.
+        m_configurationWatchRevision = 0;
+        m_watchStart.cancel();
     }
 }
 
@@ -120,46 +123,46 @@
         onConfigurationEvent(event);
         return m_watching;
     });
-    co_await follow(platform::configurationKind, list, onEvent, m_configurationSeen);
+    co_await watchKind(platform::configurationKind, list, onEvent, m_configurationWatchRevision);
 }
 
 auto platform_feed::onConfigurationEvent(const watch_event &event) -> void
 {
-    onAnswer();
-    m_configurationSeen = std::max(m_configurationSeen, event.revision);
+    noteStoreAnswer();
+    m_configurationWatchRevision = std::max(m_configurationWatchRevision, event.revision);
     if (event.kind == watch_event_kind::put && event.object.name == platform::configurationName) {
         applyConfiguration(event.object);
-        m_listening.onNews();
+        m_listeners.onStoreChange();
     }
-    if (event.kind == watch_event_kind::bookmark && m_hasNewest) {
+    if (event.kind == watch_event_kind::bookmark && m_isNewestApplied) {
         m_state.keys.noteValidation(event.askedAt);
     }
 }
 
 auto platform_feed::listConfiguration(last_reason &why) -> asio::awaitable<bool>
 {
-    const auto askedAt = boot_clock::now();
+    const auto requestedAt = boot_clock::now();
     const auto listed = co_await m_client.list(std::string(platform::configurationKind), why);
     if (!listed) {
         co_return false;
     }
-    onAnswer();
-    // Where there is none yet, the watch tells of the first.
+    noteStoreAnswer();
+    // If there is no configuration yet, the watch reports the first one.
     for (const auto &object : listed->objects) {
         if (object.name == platform::configurationName && applyConfiguration(object)) {
-            m_state.keys.noteValidation(askedAt);
+            m_state.keys.noteValidation(requestedAt);
         }
     }
-    m_configurationSeen = std::max(m_configurationSeen, listed->revision);
+    m_configurationWatchRevision = std::max(m_configurationWatchRevision, listed->revision);
     co_return true;
 }
 
-/// Takes over a configuration; false where it cannot be read.
+/// Applies a configuration; returns false if it cannot be decoded.
 auto platform_feed::applyConfiguration(const stored_object &object) -> bool
 {
     auto why = last_reason();
     auto content = platform::decodeConfiguration(object.value, why);
-    m_hasNewest = content.has_value();
+    m_isNewestApplied = content.has_value();
     if (!content) {
         log_line(log_level::error, "configuration_unreadable")
             .with("revision", object.revision)
@@ -167,18 +170,18 @@
         return false;
     }
     if (object.revision <= m_configurationRevision) {
-        return true; // An older answer that came late.
+        return true; // A late answer with an older or the current configuration.
     }
     m_configurationRevision = object.revision;
-    const auto before = m_state.routes ? m_state.routes->version() : 0;
+    const auto previousVersion = m_state.routes ? m_state.routes->version() : 0;
     m_state.routes = std::make_shared<const route_table>(std::move(*content));
     log_line(log_level::info, "configuration")
         .with("version", m_state.routes->version())
-        .with("before", before)
+        .with("before", previousVersion)
         .with("revision", object.revision)
         .with("routes", m_state.routes->routeCount())
         .with("keys", m_state.routes->keyCount());
-    m_listening.onRoutes();
+    m_listeners.onRoutes();
     return true;
 }
 
@@ -191,21 +194,21 @@
         onServerEvent(event);
         return m_watching;
     });
-    co_await follow(platform::serverKind, list, onEvent, m_serversSeen);
+    co_await watchKind(platform::serverKind, list, onEvent, m_serversWatchRevision);
 }
 
 auto platform_feed::onServerEvent(const watch_event &event) -> void
 {
-    onAnswer();
-    m_serversSeen = std::max(m_serversSeen, event.revision);
+    noteStoreAnswer();
+    m_serversWatchRevision = std::max(m_serversWatchRevision, event.revision);
     if (event.kind != watch_event_kind::bookmark) {
         applyServer({ .object = event.object, .removed = event.kind == watch_event_kind::remove });
         m_serversChanged = true;
         return;
     }
-    m_servers.reach(event.revision);
+    m_serverChanges.advanceTo(event.revision);
     if (std::exchange(m_serversChanged, false)) {
-        m_listening.onNews();
+        m_listeners.onStoreChange();
     }
 }
 
@@ -215,7 +218,7 @@
     if (!listed) {
         co_return false;
     }
-    onAnswer();
+    noteStoreAnswer();
     auto servers = std::vector<listed_server>();
     for (const auto &object : listed->objects) {
         auto reason = last_reason();
@@ -227,19 +230,19 @@
     }
     m_state.servers.replaceAll(std::move(servers), system_clock_source().now());
     m_state.hasServers = true;
-    m_servers.restart(listed->revision);
-    m_serversSeen = listed->revision;
-    m_listening.onNews();
+    m_serverChanges.reset(listed->revision);
+    m_serversWatchRevision = listed->revision;
+    m_listeners.onStoreChange();
     co_return true;
 }
 
 auto platform_feed::applyServer(const server_change &change) -> void
 {
-    if (change.object.revision <= m_servers.revision()) {
-        return; // Known by another way.
+    if (change.object.revision <= m_serverChanges.revision()) {
+        return; // Already applied from another source.
     }
     const auto now = system_clock_source().now();
-    m_servers.add(change);
+    m_serverChanges.add(change);
     if (change.removed) {
         m_state.servers.remove(change.object.name, now);
         return;
@@ -255,80 +258,81 @@
 
 auto platform_feed::serversRevision() const -> std::uint64_t
 {
-    return m_servers.revision();
+    return m_serverChanges.revision();
 }
 
-auto platform_feed::newsSince(std::uint64_t serversRevision) const -> store_news
+auto platform_feed::updateSince(std::uint64_t serversRevision) const -> store_update
 {
-    auto news = store_news();
+    auto update = store_update();
     const auto age = m_state.keys.age(boot_clock::now());
-    if (m_hasNewest && m_state.keys.isFresh(boot_clock::now())) {
-        // Rounded up, so that the proof never looks newer than it is.
-        news.proofAge = std::chrono::ceil<std::chrono::milliseconds>(age);
+    if (m_isNewestApplied && m_state.keys.isFresh(boot_clock::now())) {
+        // Rounded up, so that the validation never appears newer than it is.
+        update.validationAge = std::chrono::ceil<std::chrono::milliseconds>(age);
     }
-    news.configurationRevision = m_configurationRevision;
-    auto changes = m_servers.since(serversRevision, CHANGES_PER_NEWS);
-    news.serversAfter = changes ? serversRevision : m_servers.revision();
-    news.serversRevision = m_servers.revision();
-    if (changes && changes->size() == CHANGES_PER_NEWS) {
-        news.serversRevision = changes->back().object.revision;
+    update.configurationRevision = m_configurationRevision;
+    auto changes = m_serverChanges.changesAfter(serversRevision, MAX_CHANGES_PER_UPDATE);
+    update.serversBaseRevision = changes ? serversRevision : m_serverChanges.revision();
+    update.serversRevision = m_serverChanges.revision();
+    if (changes && changes->size() == MAX_CHANGES_PER_UPDATE) {
+        update.serversRevision = changes->back().object.revision;
     }
     if (changes) {
-        news.changes = std::move(*changes);
+        update.changes = std::move(*changes);
     }
-    news.storeLost = m_storeLost;
-    news.renewalLeft = m_state.servers.renewalLeft(system_clock_source().now());
-    return news;
+    update.storeLost = m_storeLost;
+    update.renewalLeft = m_state.servers.renewalLeft(system_clock_source().now());
+    return update;
 }
 
-auto platform_feed::take(const store_news &news, std::optional<boot_time> askedAt) -> bool
+auto platform_feed::applyUpdate(const store_update &update, std::optional<boot_time> queriedAt) -> bool
 {
     if (m_watching) {
-        // The store itself is asked; the news only show whether it has to be.
-        return !news.storeLost && news.configurationRevision >= m_configurationRevision;
+        // The contents come from the store; the update only shows whether watching is still necessary.
+        return !update.storeLost && update.configurationRevision >= m_configurationRevision;
     }
     const auto now = system_clock_source().now();
-    if (news.storeLost) {
+    if (update.storeLost) {
         auto why = last_reason();
-        why.fail(failure_kind::unavailable, "ask watcher", "platform", "it gets no answer");
-        onFailure(why);
+        why.fail(failure_kind::unavailable, "query watcher", "platform", "the watcher gets no answer from the store");
+        noteStoreFailure(why);
         return false;
     }
-    onAnswer();
-    m_state.servers.expectRenewals(now + news.renewalLeft);
-    const auto knowsServers = m_state.hasServers && news.serversAfter <= m_servers.revision();
-    if (knowsServers) {
-        for (const auto &change : news.changes) {
+    noteStoreAnswer();
+    m_state.servers.expectRenewals(now + update.renewalLeft);
+    const auto isListContinued = m_state.hasServers && update.serversBaseRevision <= m_serverChanges.revision();
+    if (isListContinued) {
+        for (const auto &change : update.changes) {
             applyServer(change);
         }
-        m_servers.reach(news.serversRevision);
-        m_serversSeen = std::max(m_serversSeen, news.serversRevision);
+        m_serverChanges.advanceTo(update.serversRevision);
+        m_serversWatchRevision = std::max(m_serversWatchRevision, update.serversRevision);
     }
-    const auto isNewest = news.configurationRevision <= m_configurationRevision;
-    if (isNewest && m_hasNewest && news.proofAge && askedAt) {
-        m_state.keys.noteValidation(*askedAt - *news.proofAge);
+    const auto hasNewestConfiguration = update.configurationRevision <= m_configurationRevision;
+    if (hasNewestConfiguration && m_isNewestApplied && update.validationAge && queriedAt) {
+        m_state.keys.noteValidation(*queriedAt - *update.validationAge);
     }
-    m_wantsServers = m_wantsServers || (!knowsServers && news.serversRevision > 0);
-    m_wantsConfiguration = m_wantsConfiguration || !isNewest;
-    if ((m_wantsServers || m_wantsConfiguration) && !m_refreshing) {
+    m_needsServers = m_needsServers || (!isListContinued && update.serversRevision > 0);
+    m_needsConfiguration = m_needsConfiguration || !hasNewestConfiguration;
+    if ((m_needsServers || m_needsConfiguration) && !m_isReadingMissing) {
         asio::co_spawn(
-            m_executor, [this] { return refresh(); }, asio::detached);
+            m_executor, [this] { return readMissing(); }, asio::detached);
     }
-    return knowsServers && isNewest;
+    return isListContinued && hasNewestConfiguration;
 }
 
-/// Reads once from the store what the news of others do not carry; the next news begin another try.
-auto platform_feed::refresh() -> asio::awaitable<void>
+/// Reads the missing configuration or list of servers from the store once. A failed read is retried with the next
+/// update of another router.
+auto platform_feed::readMissing() -> asio::awaitable<void>
 {
-    m_refreshing = true;
+    m_isReadingMissing = true;
     auto why = last_reason();
-    if (std::exchange(m_wantsConfiguration, false) && !co_await listConfiguration(why)) {
+    if (std::exchange(m_needsConfiguration, false) && !co_await listConfiguration(why)) {
         log_line(log_level::warning, "refresh_failed").with("reason", why.text());
     }
-    if (std::exchange(m_wantsServers, false) && !co_await listServers(why)) {
+    if (std::exchange(m_needsServers, false) && !co_await listServers(why)) {
         log_line(log_level::warning, "refresh_failed").with("reason", why.text());
     }
-    m_refreshing = false;
+    m_isReadingMissing = false;
 }
 
 auto platform_feed::tick(time_point now) -> void
@@ -336,23 +340,23 @@
     if (m_watching && !m_storeLost && now - m_lastAnswer > SILENCE_LIMIT) {
         auto why = last_reason();
         why.fail(failure_kind::unavailable, "watch", "platform", "no answer");
-        onFailure(why);
+        noteStoreFailure(why);
     }
     m_state.servers.tick(now);
 }
 
-auto platform_feed::onAnswer() -> void
+auto platform_feed::noteStoreAnswer() -> void
 {
     m_lastAnswer = system_clock_source().now();
     if (m_storeLost) {
         m_storeLost = false;
-        m_answerGate.cancel();
+        m_storeReturn.cancel();
         m_state.servers.onStoreRegained(m_lastAnswer);
         log_line(log_level::info, "store_regained").with("address", "platform");
     }
 }
 
-auto platform_feed::onFailure(const last_reason &why) -> void
+auto platform_feed::noteStoreFailure(const last_reason &why) -> void
 {
     if (!m_storeLost) {
         m_storeLost = true;
--- a/src/gateway/prefix_cache_estimate.cpp
+++ b/src/gateway/prefix_cache_estimate.cpp
@@ -8,7 +8,7 @@
     evict();
 }
 
-auto prefix_cache_estimate::noteRead(const std::vector<prompt_part> &parts, std::uint32_t unsharedTokens) -> void
+auto prefix_cache_estimate::noteRead(const std::vector<prefix_block> &parts, std::uint32_t unsharedTokens) -> void
 {
     for (const auto &part : parts) {
         touch(part);
@@ -18,7 +18,7 @@
     evict();
 }
 
-auto prefix_cache_estimate::touch(const prompt_part &part) -> void
+auto prefix_cache_estimate::touch(const prefix_block &part) -> void
 {
     const auto known = m_byId.find(part.id);
     if (known != m_byId.end()) {
@@ -30,7 +30,7 @@
     m_cachedTokens += part.tokens;
 }
 
-auto prefix_cache_estimate::cachedTokens(const prompt_outline &prompt) const -> std::uint32_t
+auto prefix_cache_estimate::cachedTokens(const prompt_summary &prompt) const -> std::uint32_t
 {
     auto tokens = std::uint32_t(0);
     for (const auto &part : prompt.parts) {
--- a/src/gateway/router_announcer.cpp
+++ b/src/gateway/router_discovery.cpp
@@ -1,4 +1,4 @@
-#include "marjoramloom/gateway/router_announcer.h"
+#include "marjoramloom/gateway/router_discovery.h"
 
 #include "marjoramloom/core/endpoint.h"
 #include "marjoramloom/core/hash.h"
@@ -17,15 +17,16 @@
 
 namespace {
 
-/// Kind of the objects by which routers find each other.
+/// Kind of the objects in the store by which routers discover each other.
 constexpr std::string_view routerKind = "routers";
-/// Waits between tries to join: a router serves by its own view meanwhile.
-constexpr auto joinRetryFirst = std::chrono::milliseconds(200);
-constexpr auto joinRetryLimit = std::chrono::milliseconds(3'000);
-/// Routers that start together are found by the first look after this.
-constexpr auto firstLook = std::chrono::seconds(2);
-/// Later ones are told by the routers themselves; this finds those whose message was lost.
-constexpr auto nextLook = std::chrono::seconds(15);
+/// Shortest and longest wait before another attempt to join; meanwhile the router serves without the other routers.
+constexpr auto firstJoinRetryWait = std::chrono::milliseconds(200);
+constexpr auto maxJoinRetryWait = std::chrono::milliseconds(3'000);
+/// Delay of the first poll, which discovers routers that started at the same time.
+constexpr auto firstPollDelay = std::chrono::seconds(2);
+/// Period of the later polls. Routers that start later introduce themselves; the polls discover those whose datagram
+/// was lost.
+constexpr auto pollPeriod = std::chrono::seconds(15);
 
 auto decodeRouter(const stored_object &object, last_reason &why) -> std::optional<router_identity>
 {
@@ -35,8 +36,8 @@
     if (fields == nullptr) {
         return why.fail(failure_kind::protocolViolation, "parse router", object.name, "not a JSON object");
     }
-    auto address = platform::textField(*fields, "address");
-    auto dataCentre = platform::textField(*fields, "data_centre");
+    auto address = platform::stringField(*fields, "address");
+    auto dataCentre = platform::stringField(*fields, "data_centre");
     const auto cores = platform::numberField(*fields, "cores");
     if (!address || !dataCentre || !cores) {
         return why.fail(failure_kind::protocolViolation, "parse router", object.name, "a field is missing");
@@ -51,7 +52,7 @@
 
 } // namespace
 
-router_announcer::router_announcer(asio::any_io_executor executor, store_client &client, std::string instance,
+router_discovery::router_discovery(asio::any_io_executor executor, store_client &client, std::string instance,
                                    router_identity self, std::function<void(router_identity)> onRouter)
     : m_executor(std::move(executor))
     , m_client(client)
@@ -61,14 +62,15 @@
 {
 }
 
-auto router_announcer::join() -> asio::awaitable<void>
+auto router_discovery::join() -> asio::awaitable<void>
 {
-    auto backoff = retry_backoff(joinRetryFirst, joinRetryLimit, hash64(m_self.address));
+    auto backoff = retry_backoff(firstJoinRetryWait, maxJoinRetryWait, hash64(m_self.address));
     auto timer = asio::steady_timer(m_executor);
-    // Written before the others are read: of two routers that start together, one finds the other at least.
+    // The registration is written before the others are read, so that of two routers that start at the same time at
+    // least one discovers the other.
     while (true) {
         auto why = last_reason();
-        if (co_await announce(why) && co_await readRouters(read_freshness::current, why)) {
+        if (co_await writeRegistration(why) && co_await readRouters(read_freshness::current, why)) {
             break;
         }
         log_line(log_level::warning, "join_failed").with("reason", why.text());
@@ -77,30 +79,30 @@
     }
 }
 
-auto router_announcer::lookForOthers() -> asio::awaitable<void>
+auto router_discovery::pollRouters() -> asio::awaitable<void>
 {
-    auto timer = asio::steady_timer(m_executor, firstLook);
+    auto timer = asio::steady_timer(m_executor, firstPollDelay);
     while (true) {
         co_await timer.async_wait(asio::use_awaitable);
         auto why = last_reason();
         if (!co_await readRouters(read_freshness::mayBeStale, why)) {
             log_line(log_level::warning, "routers_unread").with("reason", why.text());
         }
-        timer.expires_after(nextLook);
+        timer.expires_after(pollPeriod);
     }
 }
 
-auto router_announcer::withdraw() -> asio::awaitable<void>
+auto router_discovery::unregister() -> asio::awaitable<void>
 {
     auto why = last_reason();
     const auto outcome = co_await m_client.remove(std::string(routerKind), m_instance, m_revision, why);
     if (outcome.result != write_result::written) {
-        // The others find out by its silence, too.
+        // Not fatal: the other routers also notice that this router stops answering.
         log_line(log_level::warning, "withdraw_failed").with("reason", why.text());
     }
 }
 
-auto router_announcer::announce(last_reason &why) -> asio::awaitable<bool>
+auto router_discovery::writeRegistration(last_reason &why) -> asio::awaitable<bool>
 {
     const auto value = json::serialize(
         json::object{ { "address", m_self.address }, { "data_centre", m_self.dataCentre }, { "cores", m_self.cores } });
@@ -114,7 +116,7 @@
     co_return outcome.result == write_result::written;
 }
 
-auto router_announcer::readRouters(read_freshness freshness, last_reason &why) -> asio::awaitable<bool>
+auto router_discovery::readRouters(read_freshness freshness, last_reason &why) -> asio::awaitable<bool>
 {
     const auto listed = co_await m_client.list(std::string(routerKind), why, freshness);
     if (!listed) {
--- a/src/gateway/server_log.cpp
+++ b/src/gateway/server_change_log.cpp
@@ -1,39 +1,40 @@
-#include "marjoramloom/gateway/server_log.h"
+#include "marjoramloom/gateway/server_change_log.h"
 
 #include <algorithm>
 
 namespace marjoramloom {
 
-auto server_log::restart(std::uint64_t revision) -> void
+auto server_change_log::reset(std::uint64_t revision) -> void
 {
     m_changes.clear();
-    m_start = revision;
+    m_startRevision = revision;
     m_revision = revision;
 }
 
-auto server_log::add(server_change change) -> void
+auto server_change_log::add(server_change change) -> void
 {
     m_revision = std::max(m_revision, change.object.revision);
     m_changes.push_back(std::move(change));
-    if (m_changes.size() > LENGTH) {
-        m_start = m_changes.front().object.revision;
+    if (m_changes.size() > CAPACITY) {
+        m_startRevision = m_changes.front().object.revision;
         m_changes.pop_front();
     }
 }
 
-auto server_log::reach(std::uint64_t revision) -> void
+auto server_change_log::advanceTo(std::uint64_t revision) -> void
 {
     m_revision = std::max(m_revision, revision);
 }
 
-auto server_log::revision() const -> std::uint64_t
+auto server_change_log::revision() const -> std::uint64_t
 {
     return m_revision;
 }
 
-auto server_log::since(std::uint64_t after, std::size_t limit) const -> std::optional<std::vector<server_change>>
+auto server_change_log::changesAfter(std::uint64_t after, std::size_t limit) const
+    -> std::optional<std::vector<server_change>>
 {
-    if (after < m_start) {
+    if (after < m_startRevision) {
         return std::nullopt;
     }
     auto changes = std::vector<server_change>();
--- a/src/gateway/server_choice.cpp
+++ b/src/gateway/server_choice.cpp
@@ -51,7 +51,7 @@
 }
 
 auto chooseEngine(gateway_state &state, const routed_service &service, const engine_shard &shard,
-                  const prompt_outline &prompt, const tried_servers &tried, time_point now, last_reason &why)
+                  const prompt_summary &prompt, const tried_servers &tried, time_point now, last_reason &why)
     -> std::optional<chosen_server>
 {
     assert(service.engine);
--- a/src/gateway/server_directory.cpp
+++ b/src/gateway/server_directory.cpp
@@ -36,17 +36,18 @@
 {
     auto &current = m_entries[server.id];
     const auto known = current.server != nullptr;
-    const auto sameRun = known && current.server->sameRun(server);
-    const auto unchanged = sameRun && current.server->leaving == server.leaving && current.server->slots == server.slots
-        && current.server->service == server.service && !current.expiredKeptUntil;
+    const auto isSameIncarnation = known && current.server->isSameIncarnation(server);
+    const auto unchanged = isSameIncarnation && current.server->draining == server.draining
+        && current.server->slots == server.slots && current.server->service == server.service
+        && !current.expiredKeptUntil;
     // An incarnation that drains never accepts requests again; an older entry of it may arrive late.
-    server.leaving = server.leaving || (sameRun && current.server->leaving);
-    current.misdirected = sameRun && current.misdirected;
+    server.draining = server.draining || (isSameIncarnation && current.server->draining);
+    current.misdirected = isSameIncarnation && current.misdirected;
     current.expiredKeptUntil.reset();
     current.server = std::make_shared<const listed_server>(std::move(server));
     rebuildIndexes();
     if (!unchanged) {
-        m_onChange(*current.server, !known ? "added" : (current.server->leaving ? "leaving" : "changed"));
+        m_onChange(*current.server, !known ? "added" : (current.server->draining ? "leaving" : "changed"));
     }
 }
 
@@ -56,7 +57,7 @@
     if (found == m_entries.end()) {
         return;
     }
-    if (!mayBeRenewed(now) || found->second.server->leaving) {
+    if (!mayBeRenewed(now) || found->second.server->draining) {
         removeEntry(id, "removed");
         return;
     }
@@ -115,7 +116,7 @@
 auto server_directory::noteMisdirected(const listed_server &server) -> void
 {
     const auto found = m_entries.find(server.id);
-    if (found != m_entries.end() && found->second.server->sameRun(server)) {
+    if (found != m_entries.end() && found->second.server->isSameIncarnation(server)) {
         found->second.misdirected = true;
         rebuildIndexes();
         m_onChange(server, "misdirected");
@@ -132,8 +133,9 @@
 auto server_directory::isUsable(const listed_server &server) const -> bool
 {
     const auto found = m_entries.find(server.id);
-    return found != m_entries.end() && found->second.server->sameRun(server) && !found->second.server->leaving
-        && !found->second.misdirected && found->second.server->service == server.service;
+    return found != m_entries.end() && found->second.server->isSameIncarnation(server)
+        && !found->second.server->draining && !found->second.misdirected
+        && found->second.server->service == server.service;
 }
 
 auto server_directory::findUsable(std::uint64_t incarnation) const -> server_ptr
@@ -145,7 +147,7 @@
 auto server_directory::isListed(const listed_server &server) const -> bool
 {
     const auto found = m_entries.find(server.id);
-    return found != m_entries.end() && found->second.server->sameRun(server);
+    return found != m_entries.end() && found->second.server->isSameIncarnation(server);
 }
 
 auto server_directory::size() const -> std::size_t
@@ -172,7 +174,7 @@
     m_usableByService.clear();
     m_usableByIncarnation.clear();
     for (const auto &[id, current] : m_entries) {
-        if (!current.server->leaving && !current.misdirected) {
+        if (!current.server->draining && !current.misdirected) {
             m_usableByService[current.server->service].push_back(current.server);
             m_usableByIncarnation.emplace(server_loads::incarnationId(*current.server), current.server);
         }
--- a/src/gateway/server_loads.cpp
+++ b/src/gateway/server_loads.cpp
@@ -8,7 +8,7 @@
 
 auto server_loads::incarnationId(const listed_server &server) -> std::uint64_t
 {
-    return hash64(server.id, static_cast<std::uint64_t>(server.startedMs));
+    return hash64(server.id, static_cast<std::uint64_t>(server.startUnixMs));
 }
 
 auto server_loads::at(const listed_server &server) -> server_load &
--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -176,23 +176,23 @@
     {
         auto reader = table("gateway");
         auto gateway = gateway_settings();
-        auto graceSeconds = toSeconds(gateway.graceTime);
-        auto windowSeconds = toSeconds(gateway.repeats.window);
-        auto revocation = gateway.keyLifetime + gateway_settings::KEY_MARGIN;
+        auto graceSeconds = toSeconds(gateway.gracePeriod);
+        auto windowSeconds = toSeconds(gateway.retryBudgetSettings.window);
+        auto revocation = gateway.keyLifetime + gateway_settings::KEY_EXPIRY_MARGIN;
         reader.time("key_revocation_ms", revocation, 1'000, hourMs);
-        gateway.keyLifetime = revocation - gateway_settings::KEY_MARGIN;
+        gateway.keyLifetime = revocation - gateway_settings::KEY_EXPIRY_MARGIN;
         reader.number("grace_seconds", graceSeconds, 0.5, 3'600);
         reader.number("cores", gateway.cores, 0.01, 1'024);
-        reader.whole("descriptors", gateway.descriptors, 64, 1'000'000);
-        reader.number("repeat_ratio", gateway.repeats.ratio, 0, 1);
+        reader.whole("descriptors", gateway.maxFileDescriptors, 64, 1'000'000);
+        reader.number("repeat_ratio", gateway.retryBudgetSettings.ratio, 0, 1);
         reader.number("repeat_window_seconds", windowSeconds, 0.1, 3'600);
-        reader.number("repeat_reserve", gateway.repeats.reserve, 0, 1e6);
+        reader.number("repeat_reserve", gateway.retryBudgetSettings.reserve, 0, 1e6);
         if (m_root.contains("gateway") && m_settings.threads != 1) {
             reader.reject("", "a gateway does all of its work on one thread: instance.threads must be 1");
         }
         reader.finish();
-        gateway.graceTime = std::chrono::duration_cast<std::chrono::milliseconds>(fromSeconds(graceSeconds));
-        gateway.repeats.window = fromSeconds(windowSeconds);
+        gateway.gracePeriod = std::chrono::duration_cast<std::chrono::milliseconds>(fromSeconds(graceSeconds));
+        gateway.retryBudgetSettings.window = fromSeconds(windowSeconds);
         if (m_root.contains("gateway")) {
             m_settings.gateway = gateway;
         }
--- a/tests/unit/gateway/engine_parts_test.cpp
+++ b/tests/unit/gateway/engine_parts_test.cpp
@@ -18,9 +18,9 @@
     return engines;
 }
 
-auto makePrompt(std::uint64_t session, std::uint64_t lastBlock) -> prompt_outline
+auto makePrompt(std::uint64_t session, std::uint64_t lastBlock) -> prompt_summary
 {
-    auto prompt = prompt_outline();
+    auto prompt = prompt_summary();
     prompt.parts = { { 1, 2'500 }, { session, 3'700 }, { lastBlock, 2'800 } };
     prompt.promptTokens = 9'000;
     return prompt;
--- a/tests/unit/gateway/event_splitter_test.cpp
+++ b/tests/unit/gateway/event_splitter_test.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(event_splitter_test)
 
-BOOST_AUTO_TEST_CASE(events_come_whole_however_the_bytes_are_cut)
+BOOST_AUTO_TEST_CASE(events_are_complete_for_every_size_of_the_chunks_fed)
 {
     const auto text = std::string("id: 1\ndata: one\n\nid:2\ndata: two\ndata: more\n\ndata: no id\n\n");
     for (auto size = std::size_t(1); size <= text.size(); ++size) {
@@ -25,7 +25,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(half_an_event_is_kept_back)
+BOOST_AUTO_TEST_CASE(an_incomplete_event_is_not_returned)
 {
     auto splitter = event_splitter();
     BOOST_TEST(splitter.feed("id: 1\ndata: on").empty());
--- a/tests/unit/gateway/freshness_and_budget_test.cpp
+++ b/tests/unit/gateway/freshness_and_budget_test.cpp
@@ -46,15 +46,15 @@
     auto counters = counter_registry();
     auto state = gateway_state(gateway_settings(), { "10.0.0.1:7400", "north", 1 }, counters, 1);
     auto service = routed_service();
-    BOOST_TEST(state.idleLimit(service) == connection_pool::MAX_IDLE_PER_PEER);
+    BOOST_TEST(state.maxIdleConnections(service) == connection_pool::MAX_IDLE_PER_PEER);
     service.connectionLimit = 470;
-    BOOST_TEST(state.idleLimit(service) == connection_pool::MAX_IDLE_PER_PEER);
+    BOOST_TEST(state.maxIdleConnections(service) == connection_pool::MAX_IDLE_PER_PEER);
     constexpr auto routers = 69U;
     for (auto number = 2U; number <= routers; ++number) {
         state.roster.put({ "10.0.0." + std::to_string(number) + ":7400", "north", 1 });
     }
-    BOOST_TEST(state.idleLimit(service) >= 1U);
-    BOOST_TEST(state.idleLimit(service) * routers * 2 <= service.connectionLimit);
+    BOOST_TEST(state.maxIdleConnections(service) >= 1U);
+    BOOST_TEST(state.maxIdleConnections(service) * routers * 2 <= service.connectionLimit);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/gateway/placement_test.cpp
+++ b/tests/unit/gateway/placement_test.cpp
@@ -55,8 +55,8 @@
 {
     auto cache = prefix_cache_estimate();
     cache.setCapacity(10'000);
-    const auto outline = [](std::vector<prompt_part> parts) {
-        auto prompt = prompt_outline();
+    const auto outline = [](std::vector<prefix_block> parts) {
+        auto prompt = prompt_summary();
         prompt.parts = std::move(parts);
         return prompt;
     };
--- a/tests/unit/gateway/platform_feed_test.cpp
+++ b/tests/unit/gateway/platform_feed_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A router that does not watch the store, which cannot be reached.
+/// A router that does not watch the store, and cannot reach it.
 struct follower_fixture
 {
     boost::asio::io_context context{ 1 };
@@ -21,7 +21,7 @@
                         client,
                         state,
                         { .onRoutes = [] {},
-                          .onNews =
+                          .onStoreChange =
                               [] {
                               } } };
 
@@ -33,14 +33,14 @@
         return { .object = { .kind = {}, .name = id, .revision = revision, .value = value }, .removed = false };
     }
 
-    /// News that follow on what the router knows, without a new configuration.
-    auto newsOf(std::vector<server_change> changes, std::uint64_t revision) const -> store_news
+    /// An update that continues the router's list of servers and has no new configuration.
+    auto updateOf(std::vector<server_change> changes, std::uint64_t revision) const -> store_update
     {
-        auto news = store_news();
-        news.serversAfter = feed.serversRevision();
-        news.serversRevision = revision;
-        news.changes = std::move(changes);
-        return news;
+        auto update = store_update();
+        update.serversBaseRevision = feed.serversRevision();
+        update.serversRevision = revision;
+        update.changes = std::move(changes);
+        return update;
     }
 };
 
@@ -48,7 +48,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(platform_feed_test, follower_fixture)
 
-BOOST_AUTO_TEST_CASE(a_router_that_does_not_watch_sleeps)
+BOOST_AUTO_TEST_CASE(a_router_that_does_not_watch_does_not_poll)
 {
     boost::asio::co_spawn(
         context, [this] { return feed.followConfiguration(); }, boost::asio::detached);
@@ -57,68 +57,70 @@
     BOOST_TEST(context.run_for(50ms) < 20U);
 }
 
-BOOST_AUTO_TEST_CASE(news_carry_servers_and_what_lapsed_stays_for_as_long_as_the_teller_keeps_it)
+BOOST_AUTO_TEST_CASE(updates_change_servers_and_expired_ones_stay_usable_for_as_long_as_at_the_sender)
 {
     state.hasServers = true;
-    BOOST_TEST(feed.take(newsOf({ entryOf("a", 3, "ready"), entryOf("b", 4, "ready") }, 9), boot_clock::now()));
+    BOOST_TEST(
+        feed.applyUpdate(updateOf({ entryOf("a", 3, "ready"), entryOf("b", 4, "ready") }, 9), boot_clock::now()));
     BOOST_TEST(feed.serversRevision() == 9U);
     BOOST_TEST(state.servers.usable("pool").size() == 2U);
-    BOOST_TEST(feed.take(newsOf({ entryOf("a", 10, "draining") }, 10), std::nullopt));
+    BOOST_TEST(feed.applyUpdate(updateOf({ entryOf("a", 10, "draining") }, 10), std::nullopt));
     BOOST_TEST(state.servers.usable("pool").size() == 1U);
-    // An older change that comes late is not taken for news.
-    BOOST_TEST(feed.take(newsOf({ entryOf("b", 4, "draining") }, 10), std::nullopt));
+    // A late older change is not applied.
+    BOOST_TEST(feed.applyUpdate(updateOf({ entryOf("b", 4, "draining") }, 10), std::nullopt));
     BOOST_TEST(state.servers.usable("pool").size() == 1U);
-    auto lapse = entryOf("b", 12, "ready");
-    lapse.removed = true;
-    auto news = newsOf({ lapse }, 12);
-    news.renewalLeft = 1'500ms;
-    BOOST_TEST(feed.take(news, std::nullopt));
+    auto expiry = entryOf("b", 12, "ready");
+    expiry.removed = true;
+    auto update = updateOf({ expiry }, 12);
+    update.renewalLeft = 1'500ms;
+    BOOST_TEST(feed.applyUpdate(update, std::nullopt));
     BOOST_TEST(state.servers.usable("pool").size() == 1U);
     feed.tick(system_clock_source().now() + 1'600ms);
     BOOST_TEST(state.servers.usable("pool").empty());
 }
 
-BOOST_AUTO_TEST_CASE(only_an_answer_to_a_question_proves_keys_and_only_from_the_question_on)
+BOOST_AUTO_TEST_CASE(keys_are_validated_neither_without_a_query_nor_for_an_unknown_configuration)
 {
     state.hasServers = true;
-    auto news = newsOf({}, 1);
-    news.proofAge = 100ms;
-    news.configurationRevision = 5;
+    auto update = updateOf({}, 1);
+    update.validationAge = 100ms;
+    update.configurationRevision = 5;
     const auto askedAt = boot_clock::now() - 200ms;
-    // A configuration that this router does not have yet: nothing is proved, and it is read from the store.
-    BOOST_TEST(!feed.take(news, askedAt));
+    // The update names a configuration that this router does not have: it validates no keys, and the configuration is
+    // read from the store.
+    BOOST_TEST(!feed.applyUpdate(update, askedAt));
     BOOST_TEST(!state.keys.isFresh(boot_clock::now()));
-    news.configurationRevision = 0;
-    BOOST_TEST(feed.take(news, std::nullopt));
+    update.configurationRevision = 0;
+    BOOST_TEST(feed.applyUpdate(update, std::nullopt));
     BOOST_TEST(!state.keys.isFresh(boot_clock::now()));
 }
 
-BOOST_AUTO_TEST_CASE(a_gap_in_the_changes_is_not_passed_over)
+BOOST_AUTO_TEST_CASE(changes_after_a_gap_are_not_applied)
 {
     state.hasServers = true;
-    auto news = newsOf({ entryOf("a", 30, "ready") }, 31);
-    news.serversAfter = 20;
-    BOOST_TEST(!feed.take(news, std::nullopt));
+    auto update = updateOf({ entryOf("a", 30, "ready") }, 31);
+    update.serversBaseRevision = 20;
+    BOOST_TEST(!feed.applyUpdate(update, std::nullopt));
     BOOST_TEST(state.servers.usable("pool").empty());
     BOOST_TEST(feed.serversRevision() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_teller_without_the_store_is_not_current)
+BOOST_AUTO_TEST_CASE(an_update_from_a_router_that_lost_the_store_is_not_current)
 {
-    auto news = newsOf({}, 1);
-    news.storeLost = true;
-    BOOST_TEST(!feed.take(news, boot_clock::now()));
+    auto update = updateOf({}, 1);
+    update.storeLost = true;
+    BOOST_TEST(!feed.applyUpdate(update, boot_clock::now()));
 }
 
-BOOST_AUTO_TEST_CASE(only_the_configuration_is_tried_while_the_store_is_away)
+BOOST_AUTO_TEST_CASE(only_the_configuration_watch_retries_while_the_store_is_lost)
 {
-    // A fleet of 69 such routers makes each call 69 times.
+    // In a fleet of 69 routers each of these calls is made 69 times.
     boost::asio::co_spawn(
         context, [this] { return feed.followConfiguration(); }, boost::asio::detached);
     boost::asio::co_spawn(
         context, [this] { return feed.followServers(); }, boost::asio::detached);
-    constexpr auto standsIn = false;
-    feed.setWatching(true, standsIn, system_clock_source().now());
+    constexpr auto isDesignated = false;
+    feed.setWatching(true, isDesignated, system_clock_source().now());
     context.run_for(1'500ms);
     BOOST_TEST(counters.at("marjoramloom_platform_calls_total").value() == 1U);
 }
--- a/tests/unit/gateway/server_directory_test.cpp
+++ b/tests/unit/gateway/server_directory_test.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-auto makeServer(std::string id, std::int64_t startedMs = 1, bool leaving = false) -> listed_server
+auto makeServer(std::string id, std::int64_t startUnixMs = 1, bool draining = false) -> listed_server
 {
     auto server = listed_server();
     server.id = std::move(id);
     server.service = "desk";
     server.address = "10.0.0.1:80";
-    server.startedMs = startedMs;
-    server.leaving = leaving;
+    server.startUnixMs = startUnixMs;
+    server.draining = draining;
     return server;
 }
 
--- a/tests/unit/platform/header_format_test.cpp
+++ b/tests/unit/platform/header_format_test.cpp
@@ -11,7 +11,7 @@
 
 BOOST_AUTO_TEST_SUITE(header_format_test)
 
-BOOST_AUTO_TEST_CASE(a_request_is_decoded_into_what_its_fields_hold)
+BOOST_AUTO_TEST_CASE(a_request_head_is_decoded)
 {
     auto head = platform::request_head();
     head.method(http::verb::post);
@@ -28,7 +28,7 @@
     BOOST_REQUIRE(request.has_value());
     BOOST_TEST(request->id == "r-1");
     BOOST_TEST(request->path == "/a/b");
-    BOOST_TEST(request->callerLimit->count() == 1'500);
+    BOOST_TEST(request->callerTimeout->count() == 1'500);
     BOOST_TEST(*request->lastEventId == 12);
     BOOST_TEST(*request->key == "key");
     BOOST_TEST(request->prompt.promptTokens == 1'460U);
@@ -51,7 +51,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(only_what_is_the_callers_is_passed_on)
+BOOST_AUTO_TEST_CASE(router_fields_and_hop_by_hop_fields_of_a_caller_are_not_forwarded)
 {
     auto head = platform::request_head();
     for (const auto *name : { "Authorization", "X-Tenant-Id", "X-Expect-Instance", "X-Cache-Hold", "X-Pin-Ms",
@@ -61,47 +61,47 @@
     head.set("Connection", "keep-alive, X-Hop");
     head.set("X-Model-Id", "m");
     head.set("Last-Event-Id", "3");
-    auto marks = platform::forwarded_marks();
-    marks.serverId = "i-1";
-    marks.account = "alpha";
-    marks.timeLeft = std::chrono::milliseconds(900);
-    auto passed = platform::header_fields();
-    platform::copyRequestFields(head, marks, passed);
-    BOOST_TEST(passed["X-Expect-Instance"] == "i-1");
-    BOOST_TEST(passed["X-Tenant-Id"] == "alpha");
-    BOOST_TEST(passed["X-Deadline-Ms"] == "900");
-    BOOST_TEST(passed["X-Model-Id"] == "m");
-    BOOST_TEST(passed["Last-Event-Id"] == "3");
+    auto added = platform::forwarding_headers();
+    added.serverId = "i-1";
+    added.account = "alpha";
+    added.remainingTime = std::chrono::milliseconds(900);
+    auto forwarded = platform::header_fields();
+    platform::copyRequestFields(head, added, forwarded);
+    BOOST_TEST(forwarded["X-Expect-Instance"] == "i-1");
+    BOOST_TEST(forwarded["X-Tenant-Id"] == "alpha");
+    BOOST_TEST(forwarded["X-Deadline-Ms"] == "900");
+    BOOST_TEST(forwarded["X-Model-Id"] == "m");
+    BOOST_TEST(forwarded["Last-Event-Id"] == "3");
     for (const auto *name : { "Authorization", "X-Cache-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Keep-Alive",
                               "Transfer-Encoding", "X-Hop", "Connection" }) {
-        BOOST_TEST((passed.find(name) == passed.end()), name);
+        BOOST_TEST((forwarded.find(name) == forwarded.end()), name);
     }
-    marks.account.clear();
-    marks.resumeAfter = 8;
+    added.account.clear();
+    added.resumeAfter = 8;
     auto resumed = platform::header_fields();
-    platform::copyRequestFields(head, marks, resumed);
+    platform::copyRequestFields(head, added, resumed);
     BOOST_TEST(resumed["Last-Event-Id"] == "8");
     BOOST_TEST((resumed.find("X-Tenant-Id") == resumed.end()));
 }
 
-BOOST_AUTO_TEST_CASE(entries_of_servers_are_read_whole_or_not_at_all)
+BOOST_AUTO_TEST_CASE(server_entries_with_an_invalid_field_are_rejected)
 {
     auto why = last_reason();
-    const auto read = [&](std::string value) {
+    const auto decode = [&](std::string value) {
         return platform::decodeServer({ .kind = "servers", .name = "i-1", .revision = 1, .value = std::move(value) },
                                       why);
     };
     const auto server =
-        read(R"({"service":"s","address":"10.0.0.1:80","zone":"north","state":"draining","slots":6,"born":17})");
+        decode(R"({"service":"s","address":"10.0.0.1:80","zone":"north","state":"draining","slots":6,"born":17})");
     BOOST_REQUIRE(server.has_value());
-    BOOST_TEST(server->leaving);
+    BOOST_TEST(server->draining);
     BOOST_TEST(server->dataCentre == "north");
-    BOOST_TEST(server->startedMs == 17);
+    BOOST_TEST(server->startUnixMs == 17);
     for (const auto *value : { "junk", R"({"service":"s","address":"a","zone":"n","state":"ready"})",
                                R"({"service":5,"address":"a","zone":"n","state":"ready","slots":6})",
                                R"({"service":"s","address":"a","zone":"n","state":"sleepy","slots":6})",
                                R"({"service":"s","address":"a","zone":"n","state":"ready","slots":"6"})" }) {
-        BOOST_TEST(!read(value).has_value(), value);
+        BOOST_TEST(!decode(value).has_value(), value);
     }
 }
 
--- a/tests/unit/platform/object_format_test.cpp
+++ b/tests/unit/platform/object_format_test.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(object_format_test)
 
-BOOST_AUTO_TEST_CASE(an_object_comes_back_as_it_was_written)
+BOOST_AUTO_TEST_CASE(an_encoded_object_is_decoded_unchanged)
 {
     for (const auto *value : { R"({"a":1,"b":["c"]})", "plain text", "" }) {
         const auto body = platform::encodeObject("name", value, 7);
@@ -19,7 +19,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(pages_and_events_pass_over_what_names_no_object)
+BOOST_AUTO_TEST_CASE(pages_and_event_batches_skip_and_count_invalid_objects)
 {
     auto why = last_reason();
     auto unreadable = std::size_t(0);
@@ -43,7 +43,7 @@
     BOOST_TEST(batch->revision == 11U);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_of_another_form_is_refused_with_a_reason)
+BOOST_AUTO_TEST_CASE(a_malformed_answer_is_rejected_with_a_reason)
 {
     for (const auto *body : { "", "[]", R"({"entries":5,"at":1})", R"({"entries":[]})", R"({"entries":[],"at":-1})" }) {
         auto why = last_reason();
@@ -53,7 +53,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(targets_name_kind_object_and_revision)
+BOOST_AUTO_TEST_CASE(request_targets_contain_kind_name_and_revision)
 {
     BOOST_TEST(platform::pageTarget("servers", "") == "/v1/objects/servers");
     BOOST_TEST(platform::pageTarget("servers", "x") == "/v1/objects/servers?after=x");
--- a/tests/unit/router/settings_test.cpp
+++ b/tests/unit/router/settings_test.cpp
@@ -85,9 +85,9 @@
     BOOST_REQUIRE_MESSAGE(parsed, why.text());
     BOOST_REQUIRE(parsed->gateway.has_value());
     BOOST_TEST(parsed->gateway->keyLifetime.count() == 2'500);
-    BOOST_TEST(parsed->gateway->graceTime.count() == 2'500);
-    BOOST_TEST(parsed->gateway->repeats.ratio == 0.3);
-    BOOST_TEST(parsed->gateway->descriptors == 4'100U);
+    BOOST_TEST(parsed->gateway->gracePeriod.count() == 2'500);
+    BOOST_TEST(parsed->gateway->retryBudgetSettings.ratio == 0.3);
+    BOOST_TEST(parsed->gateway->maxFileDescriptors == 4'100U);
 }
 
 BOOST_AUTO_TEST_CASE(missing_keys_and_text_that_is_not_toml_are_refused)
