--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -138,16 +138,16 @@
 
 auto exampleMember(int index) -> member
 {
-    auto who = member();
-    who.incarnation = 0x1A0000000000000 + static_cast<incarnation_id>(index);
-    who.instance = "router-" + std::to_string(100'000 + index);
-    who.dataCentre = "region-1-dc-" + std::to_string(1 + index % 3);
-    who.region = "region-1";
-    who.peerAddress = "10.11.12." + std::to_string(index % 250) + ":7946";
-    who.configurationSequence = 250'000;
-    who.beat = 1'000'000;
-    who.ready = true;
-    return who;
+    auto memberInfo = member();
+    memberInfo.incarnation = 0x1A0000000000000 + static_cast<incarnation_id>(index);
+    memberInfo.instance = "router-" + std::to_string(100'000 + index);
+    memberInfo.dataCentre = "region-1-dc-" + std::to_string(1 + index % 3);
+    memberInfo.region = "region-1";
+    memberInfo.peerAddress = "10.11.12." + std::to_string(index % 250) + ":7946";
+    memberInfo.configurationSequence = 250'000;
+    memberInfo.heartbeatCount = 1'000'000;
+    memberInfo.ready = true;
+    return memberInfo;
 }
 
 const auto examplePool = pool_id{ "region-1-dc-1", { 250'000 << 10U } };
@@ -279,7 +279,7 @@
             }
             encodeMember(exampleMember(index), *message.mutable_rosters(0)->add_members());
         },
-        [&](const auto &message) { rosterFrom(message.rosters(0)); }));
+        [&](const auto &message) { decodeRoster(message.rosters(0)); }));
     slopes.push_back(messageSlope(
         "heartbeat (short)",
         [](auto &message, int index) {
@@ -299,7 +299,7 @@
             for (const auto &item : message.changes()) {
                 auto alone = wire::Envelope();
                 alone.ParseFromString(item.value());
-                memberFrom(alone.sender(), alone.heartbeat());
+                decodeMember(alone.sender(), alone.heartbeat());
             }
         }));
     return slopes;
@@ -517,7 +517,7 @@
         [](int count) {
             auto routers = std::make_unique<membership>(exampleMember(0), membership_settings());
             for (auto index = 1; index <= count; ++index) {
-                routers->hear(exampleMember(index), start);
+                routers->onHeartbeat(exampleMember(index), start);
             }
             [[maybe_unused]] const auto events = routers->takeEvents();
             return routers;
@@ -591,9 +591,9 @@
             digests.receive(from, message, network.now());
         });
         peer.mesh().setMemberListener([this](const member_event &event) {
-            digests.onMember(event.who.incarnation);
+            digests.onMember(event.memberInfo.incarnation);
             if (!event.joined) {
-                totals.onLost(event.who.incarnation);
+                totals.onMemberLost(event.memberInfo.incarnation);
             }
         });
     }
@@ -706,7 +706,7 @@
         const auto own = groupByDataCentre(router.peer.members())[router.peer.self().dataCentre];
         for (const auto &model : m_models) {
             const auto pool = pool_id{ router.peer.self().dataCentre, model };
-            if (dutyHolder(own, dispatcherDuty(pool)) != router.peer.self().incarnation) {
+            if (findRoleHolder(own, dispatcherRole(pool)) != router.peer.self().incarnation) {
                 continue;
             }
             auto digest = pool_digest{ pool, 1, 0, {} };
--- a/include/marjoramloom/peer/digest_changes.h
+++ b/include/marjoramloom/peer/digest_changes.h
@@ -14,34 +14,34 @@
 
 namespace marjoramloom {
 
-/// Writes the digests of one pool for one peer as changes since the last one. Not thread safe.
+/// Encodes the digests of one pool for one peer as changes since the previous digest. Not thread safe.
 class digest_encoder
 {
 public:
-    /// Accounts whose service moved by less than \p serviceStep (weighted tokens) and whose tickets moved by less than
-    /// a quarter are left out.
-    explicit digest_encoder(double serviceStep);
+    /// Accounts are left out whose service changed by less than \p minServiceChange (weighted tokens) and whose number
+    /// of tickets changed by at most a quarter.
+    explicit digest_encoder(double minServiceChange);
 
-    /// Fills \p out with what changed since the last call; everything at first.
+    /// Writes what changed since the previous call to \p out; the first call writes the full digest.
     auto encodeChanges(const pool_digest &current, wire::PoolDigest &out) -> void;
 
 private:
     using waiting_account = pool_digest::waiting_account;
 
-    [[nodiscard]] auto isNews(const waiting_account &current) const -> bool;
+    [[nodiscard]] auto hasChanged(const waiting_account &current) const -> bool;
 
-    double m_serviceStep;
+    double m_minServiceChange;
     std::uint64_t m_serial = 0;
     std::map<object_id, waiting_account> m_sent;
 };
 
-/// Puts the digests of one pool together again. Not thread safe.
+/// Restores the full digests of one pool of one peer from encoded changes. Not thread safe.
 class digest_decoder
 {
 public:
-    /// The whole digest after the changes \p in. Nothing where they do not follow what was read before (\p wantsWhole
-    /// is set then) or make no sense.
-    auto decodeChanges(const wire::PoolDigest &in, const std::string &peer, bool &wantsWhole, last_reason &why)
+    /// Returns the full digest after applying the changes \p in. Returns nothing where \p in is invalid, or where its
+    /// base is not the last decoded digest; in the latter case \p needsFullDigest is set.
+    auto decodeChanges(const wire::PoolDigest &in, const std::string &peer, bool &needsFullDigest, last_reason &why)
         -> std::optional<pool_digest>;
 
 private:
--- a/include/marjoramloom/peer/inbound_streams.h
+++ b/include/marjoramloom/peer/inbound_streams.h
@@ -8,44 +8,44 @@
 
 namespace marjoramloom {
 
-/// What becomes of an envelope by its number.
-enum class arrival {
-    next, ///< In order: to be handled.
-    repeated, ///< Handled before.
-    gap, ///< Something before it got lost; the sender is asked for it.
-    oldStream, ///< Of a stream that was given up.
+/// Result of checking the sequence number of an envelope.
+enum class receive_order {
+    next, ///< In order and to be handled.
+    repeated, ///< Was handled before.
+    gap, ///< An earlier envelope was lost; the sender is asked to resend.
+    oldStream, ///< Belongs to a stream that a newer one replaced.
 };
 
 template<>
-struct enum_names<arrival>
+struct enum_names<receive_order>
 {
     static constexpr std::array table{
-        enum_name<arrival>{ arrival::next, "next" },
-        enum_name<arrival>{ arrival::repeated, "repeated" },
-        enum_name<arrival>{ arrival::gap, "gap" },
-        enum_name<arrival>{ arrival::oldStream, "old_stream" },
+        enum_name<receive_order>{ receive_order::next, "next" },
+        enum_name<receive_order>{ receive_order::repeated, "repeated" },
+        enum_name<receive_order>{ receive_order::gap, "gap" },
+        enum_name<receive_order>{ receive_order::oldStream, "old_stream" },
     };
 };
 
-/// The receiving side of the links from all peers: takes each envelope once and in order. Not thread safe.
+/// Receiving side of the links from all peers. Accepts each envelope once and in order. Not thread safe.
 class inbound_streams
 {
 public:
-    /// How far one sender was heard.
+    /// The last envelope accepted from one sender.
     struct position
     {
         std::uint64_t stream = 0;
-        std::uint64_t heard = 0;
-        bool gap = false; ///< Something after `heard` is missing.
+        std::uint64_t lastSequence = 0;
+        bool hasGap = false; ///< An envelope after `lastSequence` is missing.
     };
 
-    /// Judges the envelope \p sequence of \p stream, and counts it as heard where it is the next one.
-    auto arrive(incarnation_id sender, std::uint64_t stream, std::uint64_t sequence) -> arrival;
+    /// Checks the order of envelope \p sequence of \p stream, and records it as received where it is the next one.
+    auto checkOrder(incarnation_id sender, std::uint64_t stream, std::uint64_t sequence) -> receive_order;
 
-    [[nodiscard]] auto of(incarnation_id sender) const -> position;
+    [[nodiscard]] auto positionOf(incarnation_id sender) const -> position;
 
-    /// Forgets a sender that is gone for good.
-    auto forget(incarnation_id sender) -> void;
+    /// Removes the state of a sender that is gone for good.
+    auto removeSender(incarnation_id sender) -> void;
 
 private:
     std::unordered_map<incarnation_id, position> m_positions;
--- a/include/marjoramloom/peer/member.h
+++ b/include/marjoramloom/peer/member.h
@@ -8,7 +8,7 @@
 
 namespace marjoramloom {
 
-/// A router as this one knows it.
+/// State of a router as this router knows it.
 struct member
 {
     incarnation_id incarnation = 0;
@@ -17,15 +17,15 @@
     std::string region;
     std::string peerAddress; ///< IP:port.
     std::uint64_t configurationSequence = 0;
-    std::uint64_t beat = 0; ///< Heartbeats of this incarnation so far, as it counts them itself.
+    std::uint64_t heartbeatCount = 0; ///< Number of heartbeats of this incarnation, counted by the member itself.
     bool leaving = false;
     bool ready = false;
-    bool direct = false; ///< Heard on its own link, not through another member.
-    duration age{}; ///< Since it was last heard.
+    bool heardDirectly = false; ///< Heartbeats arrive over its own link, not through another member.
+    duration age{}; ///< Time since the last heartbeat.
 };
 
-/// A new identity for this run of the process: milliseconds since 1970, then 20 random bits. Later runs have higher
-/// ones, unless the machine's wall clock went back in between. Thread safe.
+/// Returns a new identity for this process: milliseconds since 1970, followed by 20 random bits. Later starts have
+/// higher numbers, unless the wall clock went back in between. Thread safe.
 auto makeIncarnation() -> incarnation_id;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/peer/nng_transport.h
+++ b/include/marjoramloom/peer/nng_transport.h
@@ -11,10 +11,10 @@
 
 namespace marjoramloom {
 
-/// Links over nng push and pull sockets on TCP: one listener for all peers, one dialled socket per link.
+/// Links over nng push and pull sockets on TCP: one listening socket for all peers, and one dialled socket per link.
 ///
-/// nng calls back on threads of its own; everything is handed to the executor. All functions are to be called there,
-/// the destructor there or after the executor stopped for good.
+/// nng calls back on its own threads; every event is posted to the executor. All functions must be called on the
+/// executor. The destructor must be called there, or after the executor stopped for good.
 class nng_transport
 {
 public:
@@ -27,20 +27,20 @@
     nng_transport(const nng_transport &) = delete;
     auto operator=(const nng_transport &) -> nng_transport & = delete;
 
-    /// Starts to listen on \p address (IP:port; port 0 takes a free one). False with the reason where that fails.
+    /// Listens on \p address (IP:port; port 0 takes a free one). Returns false with the reason in \p why on failure.
     /// Precondition: called once.
     auto listen(const std::string &address, last_reason &why) -> bool;
 
-    /// The address that is listened on, with the port that was taken.
+    /// The listening address, with the actual port.
     [[nodiscard]] auto listenAddress() const -> const std::string &;
 
     auto setMessageHandler(message_handler handler) -> void;
     auto setWritableHandler(writable_handler handler) -> void;
 
-    /// Starts to dial; nng tries again while the address refuses.
+    /// Starts to dial \p address and returns at once. nng retries while the connection is refused.
     auto open(const std::string &address) -> link_number;
 
-    /// Closes a link; what was written and not yet taken by the network is lost.
+    /// Closes a link. Data that was written but not sent yet is lost.
     auto close(link_number link) -> void;
 
     /// Whether the link can take a message.
@@ -49,21 +49,21 @@
     /// Precondition: the link is idle.
     auto write(link_number link, std::string bytes) -> void;
 
-    /// Connections to the listener that were turned away, as they did not speak the protocol; a lower bound, as nng
-    /// forgets some that come at once.
+    /// Number of connections to the listener that were rejected because they did not speak the protocol. This is a
+    /// lower bound, as nng does not count some that arrive at the same time.
     [[nodiscard]] auto rejectedConnections() const -> std::uint64_t;
 
 private:
     struct listener;
-    struct outgoing;
+    struct outgoing_link;
     struct handlers;
 
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<handlers> m_handlers;
     std::unique_ptr<listener> m_listener;
-    std::map<link_number, std::unique_ptr<outgoing>> m_links;
+    std::map<link_number, std::unique_ptr<outgoing_link>> m_links;
     std::string m_listenAddress;
-    link_number m_last = 0;
+    link_number m_lastLink = 0;
 };
 
 static_assert(link_transport<nng_transport>);
--- a/include/marjoramloom/peer/peer_mesh.h
+++ b/include/marjoramloom/peer/peer_mesh.h
@@ -22,10 +22,10 @@
 
 namespace marjoramloom {
 
-/// Names one dialled connection; a transport gives none twice.
+/// Identifies one dialled connection; a transport never reuses a number.
 using link_number = std::uint64_t;
 
-/// Carries bytes to addresses. Open starts to dial and returns at once; a link takes one message at a time.
+/// Sends messages to addresses. open() starts to dial and returns at once; a link takes one message at a time.
 template<typename Transport>
 concept link_transport = requires(Transport &transport, const std::string &address, link_number link, std::string bytes)
 {
@@ -39,22 +39,24 @@
     transport.write(link, std::move(bytes));
 };
 
-/// Periods and bounds of the links between routers.
+/// Periods and limits of the links between routers.
 struct peer_mesh_settings
 {
     membership_settings membership;
     peer_session_settings session;
-    duration heartbeat = std::chrono::milliseconds(500); ///< Within a data centre.
-    duration nearHeartbeat = std::chrono::milliseconds(1'000); ///< To another data centre of the region.
-    duration farHeartbeat = std::chrono::milliseconds(2'000); ///< To another region.
-    duration idleTimeout = std::chrono::seconds(30); ///< Links made for single messages are closed after it.
+    duration heartbeat = std::chrono::milliseconds(500); ///< Period of heartbeats within a data centre.
+    /// Period of heartbeats to another data centre of the region.
+    duration sameRegionHeartbeat = std::chrono::milliseconds(1'000);
+    duration crossRegionHeartbeat = std::chrono::milliseconds(2'000); ///< Period of heartbeats to another region.
+    /// Links that were opened only to send messages are closed after this idle time.
+    duration idleTimeout = std::chrono::seconds(30);
 };
 
-/// The links of one router to the others, over any transport: who is alive, which links to hold, heartbeats, and
-/// messages taken once and in order while both ends live.
+/// Links of one router to the others over any transport. Tracks which routers are alive, decides which links to keep
+/// open, sends heartbeats, and delivers messages once and in order while both ends live.
 ///
-/// A message that send() accepted arrives, or the receiver is reported as lost; what waited for a lost member is
-/// dropped. Reads no clock. Not thread safe: the decision strand owns it.
+/// A message that send() accepted is delivered, or the receiver is reported as lost; messages queued for a lost member
+/// are dropped. The class reads no clock. Not thread safe: it is used on the decision strand.
 template<link_transport Transport>
 class peer_mesh
 {
@@ -62,59 +64,64 @@
     using receiver = std::function<void(incarnation_id from, const wire::Envelope &message)>;
     using member_listener = std::function<void(const member_event &event)>;
 
-    /// Preconditions: \p self is whole, \p transport and \p counters outlive the mesh.
+    /// Preconditions: \p self has an incarnation, instance name and data centre; \p transport and \p counters outlive
+    /// the mesh.
     peer_mesh(member self, peer_mesh_settings limits, Transport &transport, counter_registry &counters, time_point now);
 
-    /// Called with each envelope that holds more than a heartbeat.
+    /// Sets the function that is called with each envelope that holds more than a heartbeat.
     auto setReceiver(receiver handler) -> void;
 
-    /// Called when a member joins, changes its readiness, or is gone.
+    /// Sets the function that is called when a member joins, changes its state, or is lost.
     auto setMemberListener(member_listener listener) -> void;
 
-    /// Addresses from the settings, to be dialled before the instance list is known.
+    /// Sets addresses from the settings, which are dialled until the member behind them is known.
     auto setSeeds(std::vector<std::string> seeds) -> void;
 
-    /// Since the platform was last heard, told to the others with each heartbeat.
+    /// Sets the time since the last answer of the platform, which is sent with each heartbeat.
     auto setPlatformAge(duration age) -> void;
 
-    /// Handles a message from the peer port.
+    /// Handles a message received on the peer port.
     auto receive(std::string_view bytes, time_point now) -> void;
 
-    /// Heartbeats, timeouts, links to open, to close and to dial again. To be called several times per heartbeat.
+    /// Sends heartbeats, checks timeouts, and opens, closes and reconnects links. Must be called several times per
+    /// heartbeat period.
     auto tick(time_point now) -> void;
 
-    /// The link can take its next message.
-    auto writable(link_number link, time_point now) -> void;
+    /// Must be called when \p link can take its next message.
+    auto onWritable(link_number link, time_point now) -> void;
 
-    /// Queues \p message for a live member. False where it is not known or its queue is full: then nothing is sent.
-    /// Precondition: \p to is another router.
+    /// Queues \p message for a live member. Returns false, and sends nothing, where the member is unknown or its queue
+    /// is full. Precondition: \p to is another router.
     auto send(incarnation_id to, std::unique_ptr<wire::Envelope> message, time_point now) -> bool;
 
     [[nodiscard]] auto routers() -> membership &;
     [[nodiscard]] auto routers() const -> const membership &;
 
-    /// Addresses of the links that are held.
+    /// Addresses of all open links.
     [[nodiscard]] auto linkAddresses() const -> std::vector<std::string>;
 
 private:
-    struct roster_sent
+    /// The roster that was last sent to a peer.
+    struct sent_roster
     {
         std::uint64_t version = 0;
-        std::uint64_t beat = 0;
+        std::uint64_t heartbeatCount = 0;
     };
 
+    /// The link to one address.
     struct peer_link
     {
         link_number number = 0;
         std::unique_ptr<peer_session> session;
         time_point nextHeartbeat;
-        std::map<std::string, roster_sent> rostersSent;
-        std::set<std::string> rostersAsked; ///< The peer asked for them whole.
-        std::set<std::string> rostersWanted; ///< To be asked of the peer.
-        std::set<incarnation_id> membersToTell; ///< The peer suspects or may not know them.
-        std::set<std::string> hintsToTell; ///< Data centres that the peer may not know.
+        std::map<std::string, sent_roster> sentRosters;
+        std::set<std::string> requestedRosters; ///< Rosters that the peer requested with all members, by data centre.
+        std::set<std::string> rostersToRequest; ///< Rosters to request from the peer, by data centre.
+        std::set<incarnation_id> membersToAnnounce; ///< Members that the peer suspects or may not know.
+        std::set<std::string> hintsToSend; ///< Data centres whose address hints are sent to the peer.
     };
 
+    /// Metrics of the peer links.
     struct peer_counters
     {
         counter &sentBytes;
@@ -125,30 +132,30 @@
         counter &otherVersion;
         counter &misdirected;
         counter &outOfOrder;
-        counter &redials;
-        counter &refused;
+        counter &reconnects;
+        counter &refusedMessages;
     };
 
-    auto take(const wire::Envelope &message, time_point now) -> void;
-    auto takeHeartbeat(const wire::Envelope &message, time_point now) -> void;
-    auto takeRosters(const wire::Envelope &message, time_point now) -> void;
-    auto takeAcknowledgement(const wire::Envelope &message, peer_link &link, time_point now) -> void;
+    auto handleEnvelope(const wire::Envelope &message, time_point now) -> void;
+    auto handleHeartbeat(const wire::Envelope &message, time_point now) -> void;
+    auto handleRosters(const wire::Envelope &message, time_point now) -> void;
+    auto handleAcknowledgement(const wire::Envelope &message, peer_link &link, time_point now) -> void;
     auto publishEvents(time_point now) -> void;
-    auto arrangeLinks(time_point now) -> void;
+    auto updateLinks(time_point now) -> void;
     auto bindLink(peer_link &link, incarnation_id peer, time_point now) -> void;
-    auto tellOthers(const member &joined) -> void;
-    auto takeHint(const std::string &dataCentre, const std::string &address) -> void;
+    auto announceMember(const member &joined) -> void;
+    auto storeHint(const std::string &dataCentre, const std::string &address) -> void;
     auto addHints(peer_link &link, wire::Heartbeat &heartbeat) -> void;
     auto addMembers(peer_link &link, wire::Heartbeat &heartbeat, time_point now) -> void;
     auto openLink(const std::string &address, time_point now) -> peer_link &;
-    auto redial(const std::string &address, peer_link &link, time_point now) -> void;
-    auto linkOf(incarnation_id peer) -> peer_link *;
+    auto reconnect(const std::string &address, peer_link &link, time_point now) -> void;
+    auto findLink(incarnation_id peer) -> peer_link *;
     auto flush(peer_link &link, time_point now) -> void;
     auto queueHeartbeat(const std::string &address, peer_link &link, time_point now) -> void;
     auto addRosters(peer_link &link, const member &peer, wire::Envelope &message, time_point now) -> void;
-    auto addRoster(peer_link &link, const roster &news, wire::Envelope &message) -> void;
+    auto addRoster(peer_link &link, const roster &update, wire::Envelope &message) -> void;
     [[nodiscard]] auto heartbeatPeriod(const peer_link &link) const -> duration;
-    [[nodiscard]] auto silenceLimit(const peer_link &link) const -> duration;
+    [[nodiscard]] auto silenceTimeout(const peer_link &link) const -> duration;
 
     peer_mesh_settings m_limits;
     Transport &m_transport;
@@ -159,13 +166,17 @@
     member_listener m_listener;
     std::vector<std::string> m_seeds;
     std::map<std::string, peer_link> m_links; ///< By address.
-    std::unordered_map<incarnation_id, time_point> m_used;
-    std::unordered_map<incarnation_id, time_point> m_wantedBy; ///< Peers that need a link back.
-    std::set<std::string> m_ownWanted; ///< Addresses that this router needs for reasons of its own.
-    std::map<std::string, roster> m_remoteRosters; ///< Heard from their source, to be told in the data centre.
+    std::unordered_map<incarnation_id, time_point>
+        m_lastMessageAt; ///< Time of the last message to or from each member.
+    /// Peers that requested a link from this router, with the time of the last request.
+    std::unordered_map<incarnation_id, time_point> m_linkRequestedAt;
+    /// Addresses that this router itself needs a link to, whether or not the peer requests one.
+    std::set<std::string> m_ownLinkAddresses;
+    /// Received from their source and forwarded within this data centre.
+    std::map<std::string, roster> m_remoteRosters;
     std::uint64_t m_lastStream = 0;
     duration m_platformAge{};
-    time_point m_nextBeat;
+    time_point m_nextHeartbeat;
     bool m_linksDirty = true;
 };
 
--- a/include/marjoramloom/peer/peer_mesh.inl
+++ b/include/marjoramloom/peer/peer_mesh.inl
@@ -23,7 +23,7 @@
                   counters.at("marjoramloom_peer_redials_total"),
                   counters.at("marjoramloom_peer_refused_messages_total") }
     , m_membership(std::move(self), limits.membership)
-    , m_nextBeat(now)
+    , m_nextHeartbeat(now)
 {
 }
 
@@ -75,15 +75,15 @@
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::linkOf(incarnation_id peer) -> peer_link *
+auto peer_mesh<Transport>::findLink(incarnation_id peer) -> peer_link *
 {
-    const auto *who = m_membership.find(peer);
-    if (!who) {
+    const auto *router = m_membership.find(peer);
+    if (!router) {
         return nullptr;
     }
-    const auto link = m_links.find(who->peerAddress);
-    const auto bound = link != m_links.end() && link->second.session->peer() == peer;
-    return bound ? &link->second : nullptr;
+    const auto link = m_links.find(router->peerAddress);
+    const auto isBound = link != m_links.end() && link->second.session->peer() == peer;
+    return isBound ? &link->second : nullptr;
 }
 
 template<link_transport Transport>
@@ -101,39 +101,39 @@
         return;
     }
     if (message.sender() != m_membership.self().incarnation) {
-        take(message, now);
+        handleEnvelope(message, now);
         publishEvents(now);
     }
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::take(const wire::Envelope &message, time_point now) -> void
+auto peer_mesh<Transport>::handleEnvelope(const wire::Envelope &message, time_point now) -> void
 {
     if (message.has_heartbeat()) {
-        takeHeartbeat(message, now);
+        handleHeartbeat(message, now);
     }
-    const auto meant = message.receiver() == m_membership.self().incarnation;
-    const auto known = m_membership.find(message.sender()) != nullptr;
-    if (!meant || !known) {
+    const auto isAddressedToSelf = message.receiver() == m_membership.self().incarnation;
+    const auto isKnownSender = m_membership.find(message.sender()) != nullptr;
+    if (!isAddressedToSelf || !isKnownSender) {
         m_counters.misdirected.add(message.receiver() != 0 ? 1 : 0);
         return;
     }
-    auto *link = linkOf(message.sender());
+    auto *link = findLink(message.sender());
     if (link) {
-        takeAcknowledgement(message, *link, now);
+        handleAcknowledgement(message, *link, now);
     }
-    const auto hadGap = m_inbound.of(message.sender()).gap;
-    const auto order = m_inbound.arrive(message.sender(), message.stream(), message.sequence());
-    if (order != arrival::next) {
+    const auto hadGap = m_inbound.positionOf(message.sender()).hasGap;
+    const auto order = m_inbound.checkOrder(message.sender(), message.stream(), message.sequence());
+    if (order != receive_order::next) {
         m_counters.outOfOrder.add();
-        if (order == arrival::gap && !hadGap && link) {
+        if (order == receive_order::gap && !hadGap && link) {
             link->nextHeartbeat = now;
         }
         return;
     }
-    takeRosters(message, now);
-    if (holdsMessages(message)) {
-        m_used[message.sender()] = now;
+    handleRosters(message, now);
+    if (hasPayload(message)) {
+        m_lastMessageAt[message.sender()] = now;
         if (m_receiver) {
             m_receiver(message.sender(), message);
         }
@@ -141,18 +141,19 @@
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::takeHeartbeat(const wire::Envelope &message, time_point now) -> void
+auto peer_mesh<Transport>::handleHeartbeat(const wire::Envelope &message, time_point now) -> void
 {
     const auto &heartbeat = message.heartbeat();
-    const auto who = memberFrom(message.sender(), heartbeat);
-    const auto introduced = !who.instance.empty();
-    const auto result = introduced ? m_membership.hear(who, now) : m_membership.hearAgain(who, now);
-    if (result == heard_result::obsolete || !m_membership.find(message.sender())) {
+    const auto router = decodeMember(message.sender(), heartbeat);
+    const auto hasIdentity = !router.instance.empty();
+    const auto result =
+        hasIdentity ? m_membership.onHeartbeat(router, now) : m_membership.onShortHeartbeat(router, now);
+    if (result == heartbeat_result::obsolete || !m_membership.find(message.sender())) {
         return;
     }
     const auto &address = m_membership.find(message.sender())->peerAddress;
     if (heartbeat.wants_link()) {
-        m_linksDirty = m_wantedBy.insert_or_assign(message.sender(), now).second || m_linksDirty;
+        m_linksDirty = m_linkRequestedAt.insert_or_assign(message.sender(), now).second || m_linksDirty;
     }
     const auto found = m_links.find(address);
     if (found != m_links.end()) {
@@ -160,46 +161,46 @@
         if (link.session->peer() != message.sender()) {
             bindLink(link, message.sender(), now);
         }
-        link.membersToTell.insert(heartbeat.suspects().begin(), heartbeat.suspects().end());
+        link.membersToAnnounce.insert(heartbeat.suspects().begin(), heartbeat.suspects().end());
     }
     for (const auto &digest : heartbeat.members()) {
-        if (digest.incarnation() == 0) {
-            takeHint(digest.data_centre(), digest.peer_address());
+        if (digest.incarnation() == 0) { // An address hint.
+            storeHint(digest.data_centre(), digest.peer_address());
         } else {
-            m_membership.hearThrough(memberFrom(digest), now);
+            m_membership.onRelayedHeartbeat(decodeMember(digest), now);
         }
     }
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::takeAcknowledgement(const wire::Envelope &message, peer_link &link, time_point now) -> void
+auto peer_mesh<Transport>::handleAcknowledgement(const wire::Envelope &message, peer_link &link, time_point now) -> void
 {
     link.session->acknowledge(message.heard_stream(), message.heard(), now);
     if (message.resend_wanted()) {
-        link.session->rewind(now);
+        link.session->resendUnacknowledged(now);
     }
     flush(link, now);
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::takeRosters(const wire::Envelope &message, time_point now) -> void
+auto peer_mesh<Transport>::handleRosters(const wire::Envelope &message, time_point now) -> void
 {
-    auto *link = linkOf(message.sender());
+    auto *link = findLink(message.sender());
     for (const auto &part : message.rosters()) {
-        const auto news = rosterFrom(part);
-        const auto useful = m_membership.absorb(news, now);
-        if (!useful && link) {
-            link->rostersWanted.insert(news.dataCentre);
+        const auto update = decodeRoster(part);
+        const auto isApplied = m_membership.mergeRoster(update, now);
+        if (!isApplied && link) {
+            link->rostersToRequest.insert(update.dataCentre);
         }
-        if (useful && news.source == message.sender()) {
-            auto &kept = m_remoteRosters[news.dataCentre];
-            auto members = news.members.empty() ? std::move(kept.members) : news.members;
-            kept = news;
-            kept.members = std::move(members);
+        if (isApplied && update.source == message.sender()) {
+            auto &stored = m_remoteRosters[update.dataCentre];
+            auto members = update.members.empty() ? std::move(stored.members) : update.members;
+            stored = update;
+            stored.members = std::move(members);
         }
     }
     if (link) {
-        link->rostersAsked.insert(message.wanted_rosters().begin(), message.wanted_rosters().end());
+        link->requestedRosters.insert(message.wanted_rosters().begin(), message.wanted_rosters().end());
     }
 }
 
@@ -208,13 +209,13 @@
 {
     for (const auto &event : m_membership.takeEvents()) {
         m_linksDirty = true;
-        const auto link = m_links.find(event.who.peerAddress);
-        const auto bound = link != m_links.end() && link->second.session->peer() == event.who.incarnation;
-        if (bound && !event.joined) {
+        const auto link = m_links.find(event.memberInfo.peerAddress);
+        const auto isBound = link != m_links.end() && link->second.session->peer() == event.memberInfo.incarnation;
+        if (isBound && !event.joined) {
             link->second.session->bind(0, ++m_lastStream, now);
         }
         if (event.joined) {
-            tellOthers(event.who);
+            announceMember(event.memberInfo);
         }
         if (m_listener) {
             m_listener(event);
@@ -230,13 +231,13 @@
     if (!peer || peer->dataCentre == self.dataCentre) {
         return m_limits.heartbeat;
     }
-    return peer->region == self.region ? m_limits.nearHeartbeat : m_limits.farHeartbeat;
+    return peer->region == self.region ? m_limits.sameRegionHeartbeat : m_limits.crossRegionHeartbeat;
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::silenceLimit(const peer_link &link) const -> duration
+auto peer_mesh<Transport>::silenceTimeout(const peer_link &link) const -> duration
 {
-    constexpr auto heartbeats = 4; // Acknowledgements come with the peer's heartbeats.
+    constexpr auto heartbeats = 4; // Acknowledgements arrive with the peer's heartbeats.
     return heartbeatPeriod(link) * heartbeats;
 }
 
@@ -244,64 +245,64 @@
 auto peer_mesh<Transport>::bindLink(peer_link &link, incarnation_id peer, time_point now) -> void
 {
     link.session->bind(peer, ++m_lastStream, now);
-    link.rostersSent.clear();
+    link.sentRosters.clear();
     link.nextHeartbeat = now;
-    const auto *bound = m_membership.find(peer);
-    for (const auto &who : m_membership.members(now)) {
-        if (bound && who.dataCentre == bound->dataCentre) {
-            link.membersToTell.insert(who.incarnation);
+    const auto *boundPeer = m_membership.find(peer);
+    for (const auto &router : m_membership.members(now)) {
+        if (boundPeer && router.dataCentre == boundPeer->dataCentre) {
+            link.membersToAnnounce.insert(router.incarnation);
         }
     }
-    for (const auto &[dataCentre, addresses] : m_membership.hints()) {
-        link.hintsToTell.insert(dataCentre);
+    for (const auto &[dataCentre, addresses] : m_membership.addressHints()) {
+        link.hintsToSend.insert(dataCentre);
     }
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::tellOthers(const member &joined) -> void
+auto peer_mesh<Transport>::announceMember(const member &joined) -> void
 {
     for (auto &[address, link] : m_links) {
         const auto *peer = m_membership.find(link.session->peer());
         if (peer && peer->dataCentre == joined.dataCentre) {
-            link.membersToTell.insert(joined.incarnation);
+            link.membersToAnnounce.insert(joined.incarnation);
         }
     }
-    takeHint(joined.dataCentre, joined.peerAddress);
+    storeHint(joined.dataCentre, joined.peerAddress);
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::takeHint(const std::string &dataCentre, const std::string &address) -> void
+auto peer_mesh<Transport>::storeHint(const std::string &dataCentre, const std::string &address) -> void
 {
-    if (!m_membership.hint(dataCentre, address)) {
+    if (!m_membership.addAddressHint(dataCentre, address)) {
         return;
     }
     m_linksDirty = true;
     for (auto &[peerAddress, link] : m_links) {
-        link.hintsToTell.insert(dataCentre);
+        link.hintsToSend.insert(dataCentre);
     }
 }
 
 template<link_transport Transport>
 auto peer_mesh<Transport>::addHints(peer_link &link, wire::Heartbeat &heartbeat) -> void
 {
-    for (const auto &dataCentre : link.hintsToTell) {
+    for (const auto &dataCentre : link.hintsToSend) {
         auto &digest = *heartbeat.add_members();
         digest.set_data_centre(dataCentre);
-        digest.set_peer_address(m_membership.hints().at(dataCentre).back());
+        digest.set_peer_address(m_membership.addressHints().at(dataCentre).back());
     }
-    link.hintsToTell.clear();
+    link.hintsToSend.clear();
 }
 
 template<link_transport Transport>
 auto peer_mesh<Transport>::addMembers(peer_link &link, wire::Heartbeat &heartbeat, time_point now) -> void
 {
-    for (const auto asked : link.membersToTell) {
-        const auto *heard = m_membership.find(asked);
-        if (heard && asked != link.session->peer() && m_membership.isDirect(asked, now)) {
-            encodeMember(*heard, *heartbeat.add_members());
+    for (const auto incarnation : link.membersToAnnounce) {
+        const auto *candidate = m_membership.find(incarnation);
+        if (candidate && incarnation != link.session->peer() && m_membership.isHeardDirectly(incarnation, now)) {
+            encodeMember(*candidate, *heartbeat.add_members());
         }
     }
-    link.membersToTell.clear();
+    link.membersToAnnounce.clear();
 }
 
 template<link_transport Transport>
@@ -317,44 +318,45 @@
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::redial(const std::string &address, peer_link &link, time_point now) -> void
+auto peer_mesh<Transport>::reconnect(const std::string &address, peer_link &link, time_point now) -> void
 {
-    m_counters.redials.add();
+    m_counters.reconnects.add();
     m_transport.close(link.number);
     link.number = m_transport.open(address);
-    link.session->redialled(now);
+    link.session->onReconnect(now);
     link.nextHeartbeat = now;
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::arrangeLinks(time_point now) -> void
+auto peer_mesh<Transport>::updateLinks(time_point now) -> void
 {
     m_linksDirty = false;
-    std::erase_if(m_used, [&](const auto &item) { return now - item.second > m_limits.idleTimeout; });
-    std::erase_if(m_wantedBy, [&](const auto &item) { return now - item.second > m_limits.membership.remoteTimeout; });
-    m_ownWanted = wantedAddresses({ m_membership, m_seeds, m_used, m_limits.idleTimeout }, now);
-    auto wanted = m_ownWanted;
-    for (const auto &[peer, when] : m_wantedBy) {
-        if (const auto *who = m_membership.find(peer)) {
-            wanted.insert(who->peerAddress);
+    std::erase_if(m_lastMessageAt, [&](const auto &item) { return now - item.second > m_limits.idleTimeout; });
+    std::erase_if(m_linkRequestedAt,
+                  [&](const auto &item) { return now - item.second > m_limits.membership.remoteTimeout; });
+    m_ownLinkAddresses = requiredLinkAddresses({ m_membership, m_seeds, m_lastMessageAt, m_limits.idleTimeout }, now);
+    auto wanted = m_ownLinkAddresses;
+    for (const auto &[peer, when] : m_linkRequestedAt) {
+        if (const auto *router = m_membership.find(peer)) {
+            wanted.insert(router->peerAddress);
         }
     }
     std::erase_if(m_links, [&](const auto &item) {
-        const auto superfluous = !wanted.contains(item.first);
-        if (superfluous) {
+        const auto isUnneeded = !wanted.contains(item.first);
+        if (isUnneeded) {
             m_transport.close(item.second.number);
         }
-        return superfluous;
+        return isUnneeded;
     });
     for (const auto &address : wanted) {
         if (!m_links.contains(address)) {
             openLink(address, now);
         }
     }
-    for (const auto &who : m_membership.members(now)) {
-        const auto link = m_links.find(who.peerAddress);
+    for (const auto &router : m_membership.members(now)) {
+        const auto link = m_links.find(router.peerAddress);
         if (link != m_links.end() && link->second.session->peer() == 0) {
-            bindLink(link->second, who.incarnation, now);
+            bindLink(link->second, router.incarnation, now);
         }
     }
 }
@@ -362,19 +364,19 @@
 template<link_transport Transport>
 auto peer_mesh<Transport>::tick(time_point now) -> void
 {
-    if (now >= m_nextBeat) {
-        ++m_membership.self().beat;
-        m_nextBeat = now + m_limits.heartbeat;
+    if (now >= m_nextHeartbeat) {
+        ++m_membership.self().heartbeatCount;
+        m_nextHeartbeat = now + m_limits.heartbeat;
         m_linksDirty = true;
     }
     m_membership.expire(now);
     publishEvents(now);
     if (m_linksDirty) {
-        arrangeLinks(now);
+        updateLinks(now);
     }
     for (auto &[address, link] : m_links) {
-        if (link.session->isSilent(silenceLimit(link), now)) {
-            redial(address, link, now);
+        if (link.session->hasTimedOut(silenceTimeout(link), now)) {
+            reconnect(address, link, now);
         }
         if (now >= link.nextHeartbeat) {
             queueHeartbeat(address, link, now);
@@ -392,13 +394,13 @@
     }
     auto message = std::make_unique<wire::Envelope>();
     auto &heartbeat = *message->mutable_heartbeat();
-    encodeHeartbeat(m_membership.self(), link.session->isUnproved(), heartbeat);
+    encodeHeartbeat(m_membership.self(), link.session->isUnacknowledged(), heartbeat);
     heartbeat.set_platform_age_ms(toMilliseconds(m_platformAge));
-    heartbeat.set_wants_link(m_ownWanted.contains(address));
+    heartbeat.set_wants_link(m_ownLinkAddresses.contains(address));
     const auto *peer = m_membership.find(link.session->peer());
     if (peer && peer->dataCentre == m_membership.self().dataCentre) {
-        for (const auto silent : m_membership.suspects(now)) {
-            heartbeat.add_suspects(silent);
+        for (const auto suspect : m_membership.suspects(now)) {
+            heartbeat.add_suspects(suspect);
         }
     }
     if (peer) {
@@ -415,39 +417,39 @@
 {
     const auto &own = m_membership.self().dataCentre;
     if (peer.dataCentre != own) {
-        addRoster(link, m_membership.ownRoster(true, now), message);
+        addRoster(link, m_membership.localRoster(true, now), message);
     } else {
-        for (const auto &[name, news] : m_remoteRosters) {
-            const auto sent = link.rostersSent.find(name);
-            const auto isNews = sent == link.rostersSent.end() || sent->second.beat < news.beat;
-            if (isNews || link.rostersAsked.contains(name)) {
-                addRoster(link, news, message);
+        for (const auto &[name, update] : m_remoteRosters) {
+            const auto sent = link.sentRosters.find(name);
+            const auto isNewer = sent == link.sentRosters.end() || sent->second.heartbeatCount < update.heartbeatCount;
+            if (isNewer || link.requestedRosters.contains(name)) {
+                addRoster(link, update, message);
             }
         }
     }
-    for (const auto &name : link.rostersWanted) {
+    for (const auto &name : link.rostersToRequest) {
         message.add_wanted_rosters(name);
     }
-    link.rostersWanted.clear();
-    link.rostersAsked.clear();
+    link.rostersToRequest.clear();
+    link.requestedRosters.clear();
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::addRoster(peer_link &link, const roster &news, wire::Envelope &message) -> void
+auto peer_mesh<Transport>::addRoster(peer_link &link, const roster &update, wire::Envelope &message) -> void
 {
-    auto &sent = link.rostersSent[news.dataCentre];
-    const auto whole = sent.version != news.version || link.rostersAsked.contains(news.dataCentre);
-    sent.version = news.version;
-    sent.beat = news.beat;
-    encodeRoster(news, whole, *message.add_rosters());
+    auto &sent = link.sentRosters[update.dataCentre];
+    const auto includeMembers = sent.version != update.version || link.requestedRosters.contains(update.dataCentre);
+    sent.version = update.version;
+    sent.heartbeatCount = update.heartbeatCount;
+    encodeRoster(update, includeMembers, *message.add_rosters());
 }
 
 template<link_transport Transport>
 auto peer_mesh<Transport>::flush(peer_link &link, time_point now) -> void
 {
-    while (link.session->hasWork() && m_transport.isIdle(link.number)) {
-        const auto position = m_inbound.of(link.session->peer());
-        auto bytes = link.session->next(position.stream, position.heard, position.gap, now);
+    while (link.session->hasDataToSend() && m_transport.isIdle(link.number)) {
+        const auto position = m_inbound.positionOf(link.session->peer());
+        auto bytes = link.session->next(position.stream, position.lastSequence, position.hasGap, now);
         if (!bytes) {
             return;
         }
@@ -458,11 +460,11 @@
 }
 
 template<link_transport Transport>
-auto peer_mesh<Transport>::writable(link_number link, time_point now) -> void
+auto peer_mesh<Transport>::onWritable(link_number link, time_point now) -> void
 {
-    for (auto &[address, held] : m_links) {
-        if (held.number == link) {
-            flush(held, now);
+    for (auto &[address, entry] : m_links) {
+        if (entry.number == link) {
+            flush(entry, now);
             return;
         }
     }
@@ -472,19 +474,19 @@
 auto peer_mesh<Transport>::send(incarnation_id to, std::unique_ptr<wire::Envelope> message, time_point now) -> bool
 {
     assert(to != m_membership.self().incarnation);
-    const auto *who = m_membership.find(to);
-    if (!who) {
-        m_counters.refused.add();
+    const auto *router = m_membership.find(to);
+    if (!router) {
+        m_counters.refusedMessages.add();
         return false;
     }
-    m_used[to] = now;
-    const auto found = m_links.find(who->peerAddress);
-    auto &link = found == m_links.end() ? openLink(who->peerAddress, now) : found->second;
+    m_lastMessageAt[to] = now;
+    const auto found = m_links.find(router->peerAddress);
+    auto &link = found == m_links.end() ? openLink(router->peerAddress, now) : found->second;
     if (link.session->peer() != to) {
         bindLink(link, to, now);
     }
     const auto accepted = link.session->queue(std::move(message));
-    m_counters.refused.add(accepted ? 0 : 1);
+    m_counters.refusedMessages.add(accepted ? 0 : 1);
     flush(link, now);
     return accepted;
 }
--- a/include/marjoramloom/peer/peer_network.h
+++ b/include/marjoramloom/peer/peer_network.h
@@ -12,9 +12,9 @@
 
 namespace marjoramloom {
 
-/// Sends messages to other routers and hands over what they send.
+/// Sends messages to other routers and receives their messages.
 ///
-/// Every function is to be called on the decision strand, and callbacks run there.
+/// All functions must be called on the decision strand, and callbacks run there.
 template<typename Network>
 concept peer_network = requires(Network &network, incarnation_id to, std::unique_ptr<wire::Envelope> message)
 {
--- a/include/marjoramloom/peer/peer_session.h
+++ b/include/marjoramloom/peer/peer_session.h
@@ -15,20 +15,21 @@
 
 namespace marjoramloom {
 
-/// Bounds of what waits for one peer.
+/// Limits of the data that is buffered for one peer.
 struct peer_session_settings
 {
-    std::size_t envelopeBytes = 64U << 10U; ///< Messages are merged into one envelope up to this size.
-    std::size_t pendingBytes = 1U << 20U; ///< Not yet sent; more is refused.
-    std::size_t windowBytes = 1U << 20U; ///< Sent and not acknowledged; beyond it nothing is sent.
-    duration redialLimit = std::chrono::seconds(5); ///< Longest pause between two attempts to dial.
+    std::size_t maxEnvelopeBytes = 64U << 10U; ///< Messages are merged into one envelope up to this size.
+    std::size_t maxPendingBytes = 1U << 20U; ///< Limit of data that is not sent yet; further messages are refused.
+    /// Limit of data that is sent but not acknowledged; nothing new is sent beyond it.
+    std::size_t maxUnacknowledgedBytes = 1U << 20U;
+    duration maxReconnectDelay = std::chrono::seconds(5); ///< Longest time between two reconnects.
 };
 
-/// The sending side of a link to one peer: merges messages, numbers envelopes, keeps them until the peer says that it
-/// heard them, and sends them again on a new connection.
+/// Sending side of a link to one peer. Merges messages, numbers envelopes, keeps them until the peer acknowledges them,
+/// and resends them on a new connection.
 ///
-/// As TCP does not notice a connection that went silent for good, the peer's acknowledgements decide whether the link
-/// works. Pure state, no clock of its own. Not thread safe.
+/// TCP does not detect a connection whose other end stopped answering, so the peer's acknowledgements decide whether
+/// the link works. The class reads no clock. Not thread safe.
 class peer_session
 {
 public:
@@ -36,51 +37,54 @@
     peer_session(incarnation_id self, std::uint64_t stream, peer_session_settings limits, time_point now);
     ~peer_session();
 
-    /// The peer that answers at the link's address. Another one than before gets a fresh stream \p stream, and what
-    /// waited for the previous one is dropped.
+    /// Sets the peer that answers at the link's address. For a different peer than before, numbering restarts under \p
+    /// stream, and messages queued for the previous peer are dropped. Precondition: \p stream is higher than the
+    /// current one if the peer differs.
     auto bind(incarnation_id peer, std::uint64_t stream, time_point now) -> void;
     [[nodiscard]] auto peer() const -> incarnation_id;
 
-    /// Queues a message. False where the queue is full: nothing of it will be sent.
+    /// Queues a message. Returns false, and sends nothing, where the queue is full.
     auto queue(std::unique_ptr<wire::Envelope> message) -> bool;
 
-    /// Whether a heartbeat waits to be sent.
+    /// Whether a heartbeat is queued.
     [[nodiscard]] auto hasHeartbeat() const -> bool;
 
-    /// Whether next() has something to write.
-    [[nodiscard]] auto hasWork() const -> bool;
+    /// Whether next() has an envelope to write.
+    [[nodiscard]] auto hasDataToSend() const -> bool;
 
-    /// The next envelope to write, with \p heard of the peer's \p heardStream; nothing where none waits or the window
-    /// is full.
-    [[nodiscard]] auto next(std::uint64_t heardStream, std::uint64_t heard, bool resendWanted, time_point now)
-        -> std::optional<std::string>;
+    /// Returns the next envelope to write, or nothing where none is queued or the limit of unacknowledged data is
+    /// reached. It acknowledges the peer's \p receivedStream up to \p receivedSequence, and requests a resend if \p
+    /// resendWanted is set.
+    [[nodiscard]] auto next(std::uint64_t receivedStream, std::uint64_t receivedSequence, bool resendWanted,
+                            time_point now) -> std::optional<std::string>;
 
-    /// The peer heard everything of \p stream up to \p sequence.
+    /// Records that the peer received \p stream up to \p sequence.
     auto acknowledge(std::uint64_t stream, std::uint64_t sequence, time_point now) -> void;
 
-    /// Sends everything that is not acknowledged once more, unless it was asked to a moment ago.
-    auto rewind(time_point now) -> void;
+    /// Schedules all unacknowledged envelopes to be resent, unless a resend was requested shortly before.
+    auto resendUnacknowledged(time_point now) -> void;
 
-    /// Whether the peer never acknowledged anything since the link was dialled.
-    [[nodiscard]] auto isUnproved() const -> bool;
+    /// Whether the peer has not acknowledged anything since the last connect.
+    [[nodiscard]] auto isUnacknowledged() const -> bool;
 
-    /// Whether the link is to be dialled again, as nothing was acknowledged for \p limit, doubled with each dial.
-    [[nodiscard]] auto isSilent(duration limit, time_point now) const -> bool;
+    /// Whether the link must reconnect because nothing was acknowledged for \p limit, doubled with each reconnect.
+    [[nodiscard]] auto hasTimedOut(duration limit, time_point now) const -> bool;
 
-    /// The link was dialled again.
-    auto redialled(time_point now) -> void;
+    /// Must be called after the link reconnected.
+    auto onReconnect(time_point now) -> void;
 
-    /// Bytes waiting or not acknowledged.
-    [[nodiscard]] auto bytes() const -> std::size_t;
+    /// Bytes that are queued or not acknowledged.
+    [[nodiscard]] auto bufferedBytes() const -> std::size_t;
 
 private:
+    /// An envelope that was sent and is not acknowledged.
     struct sent_envelope
     {
         std::uint64_t sequence = 0;
         std::string bytes;
     };
 
-    [[nodiscard]] auto encode(wire::Envelope &message, std::uint64_t heardStream, std::uint64_t heard,
+    [[nodiscard]] auto encode(wire::Envelope &message, std::uint64_t receivedStream, std::uint64_t receivedSequence,
                               bool resendWanted) const -> std::string;
     [[nodiscard]] auto takePending() -> std::unique_ptr<wire::Envelope>;
 
@@ -95,11 +99,12 @@
     std::size_t m_pendingBytes = 0;
     std::deque<sent_envelope> m_sent;
     std::size_t m_sentBytes = 0;
-    std::size_t m_cursor = 0; ///< First of m_sent to be written (again).
-    time_point m_progress; ///< Last acknowledgement, or when there was nothing to acknowledge, or the last dial.
-    time_point m_rewound = time_point::min();
-    std::uint32_t m_dials = 0; ///< Since the last acknowledgement.
-    bool m_unproved = true;
+    std::size_t m_sendPosition = 0; ///< Index of the first envelope of m_sent to write or resend.
+    /// Time of the last acknowledgement or connect, or of the first send after everything was acknowledged.
+    time_point m_lastProgress;
+    time_point m_lastResend = time_point::min();
+    std::uint32_t m_reconnectAttempts = 0; ///< Reconnects since the last acknowledgement.
+    bool m_unacknowledged = true;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/peer/relay_plan.h
+++ b/include/marjoramloom/peer/relay_plan.h
@@ -6,15 +6,18 @@
 
 namespace marjoramloom {
 
-/// Whom a router tells of news, so that all routers of the fleet hear it over the links that are held anyway.
+/// Returns the routers to which a router forwards an update, so that it reaches the whole fleet over links that are
+/// open anyway.
 ///
-/// News of this router itself or from another data centre goes to the members of the own data centre; news of the own
-/// data centre goes from each gateway on to its counterpart. So it takes three hops at most, and no data centre sends
-/// on what it heard from another one to a third. \p heardFrom is 0 for this router's own news. Thread safe.
-auto relayTargets(const std::vector<member> &live, const member &self, incarnation_id heardFrom)
+/// An update of this router itself or from another data centre is sent to the members of this data centre. An update of
+/// this data centre is also sent from each gateway to its counterpart. An update therefore takes at most three hops,
+/// and a data centre does not forward what it received from another one to a third. \p receivedFrom is the sender, or 0
+/// for an update of this router itself. Thread safe.
+auto relayTargets(const std::vector<member> &live, const member &self, incarnation_id receivedFrom)
     -> std::vector<incarnation_id>;
 
-/// The counterparts of this router in the data centres to which it is the gateway. Thread safe.
+/// Returns the counterparts of this router: in each data centre to which this router is the gateway, the gateway that
+/// leads back. Prefers routers that are heard directly. Thread safe.
 auto counterparts(const std::vector<member> &live, const member &self) -> std::vector<member>;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/peer/topology.h
+++ b/include/marjoramloom/peer/topology.h
@@ -9,19 +9,21 @@
 
 namespace marjoramloom {
 
-/// What decides which links a router holds.
+/// Inputs that determine which links a router keeps open.
 struct topology_input
 {
     const membership &routers;
     const std::vector<std::string> &seeds; ///< Addresses from the settings.
-    const std::unordered_map<incarnation_id, time_point> &used; ///< When messages last went to or came from a member.
-    duration idleTimeout = std::chrono::seconds(30); ///< A link that nothing else needs is closed after it.
+    /// Time of the last message to or from each member.
+    const std::unordered_map<incarnation_id, time_point> &lastMessageAt;
+    /// A link that is needed only for messages is closed after this idle time.
+    duration idleTimeout = std::chrono::seconds(30);
 };
 
-/// Addresses of the peers to hold a link to, for reasons of this router's own.
+/// Returns the addresses to which this router itself needs a link.
 ///
-/// Every member of the own data centre; of each other data centre one, and only where this router is the gateway to it;
-/// whoever a message went to lately; and addresses behind which no live member is known yet. Thread safe.
-auto wantedAddresses(const topology_input &input, time_point now) -> std::set<std::string>;
+/// These are all members of this data centre; one member of each other data centre to which this router is the gateway;
+/// members to or from which a message was sent lately; and addresses whose member is not known yet. Thread safe.
+auto requiredLinkAddresses(const topology_input &input, time_point now) -> std::set<std::string>;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/peer/totals_exchange.inl
+++ b/include/marjoramloom/peer/totals_exchange.inl
@@ -1,6 +1,6 @@
 #include "marjoramloom/core/hash.h"
-#include "marjoramloom/peer/duty.h"
 #include "marjoramloom/peer/relay_plan.h"
+#include "marjoramloom/peer/role.h"
 #include "marjoramloom/peer/wire_codec.h"
 #include "peer.pb.h"
 
@@ -10,14 +10,14 @@
 
 namespace totals_exchange_detail {
 
-/// Incarnation numbers from here on are reserved by the ledger for lifts and reliefs.
-constexpr auto reservedFrom = incarnation_id(0xFFFFFF) << 40U;
-/// Numbers of streams stay below the reserved range.
+/// The ledger reserves incarnation numbers from here on for adjustments of virtual service.
+constexpr auto firstReservedNumber = incarnation_id(0xFFFFFF) << 40U;
+/// Keeps stream numbers below the reserved range.
 constexpr auto streamMask = ~(std::uint64_t(1) << 63U);
 
 inline auto isOffset(const service_total &total) -> bool
 {
-    return total.router >= reservedFrom;
+    return total.router >= firstReservedNumber;
 }
 
 } // namespace totals_exchange_detail
@@ -37,9 +37,9 @@
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::setFilter(account_filter filter) -> void
+auto totals_exchange<Network>::setAccountFilter(account_filter filter) -> void
 {
-    m_filter = std::move(filter);
+    m_accountFilter = std::move(filter);
 }
 
 template<peer_network Network>
@@ -55,12 +55,12 @@
         return;
     }
     auto why = last_reason();
-    const auto place = placeOf(from);
-    if (place.empty()) {
+    const auto senderDataCentre = findDataCentre(from);
+    if (senderDataCentre.empty()) {
         return;
     }
-    const auto isLocal = place == m_network.self().dataCentre;
-    const auto countsFromZero = isLocal && isNewcomer(from);
+    const auto isLocal = senderDataCentre == m_network.self().dataCentre;
+    const auto countsFromZero = isLocal && isNewRouter(from);
     auto merged = std::vector<service_total>();
     for (const auto &part : message.totals()) {
         const auto total = decodeTotal(part, std::to_string(from), why);
@@ -68,7 +68,7 @@
             continue;
         }
         if (totals_exchange_detail::isOffset(*total)) {
-            m_offsetsHeard[place][{ total->router, total->account }] = total->cost;
+            m_receivedOffsets[senderDataCentre][{ total->router, total->account }] = total->cost;
             merged.push_back(*total);
             continue;
         }
@@ -76,70 +76,72 @@
         if (!isLocal) {
             m_remoteStreams.insert(total->router);
         } else if (total->router == from) {
-            countForOthers(*total, part.rebase() && !countsFromZero);
+            addToOutgoing(*total, part.rebase() && !countsFromZero);
         }
     }
     m_ledger.merge(merged);
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::countForOthers(const service_total &total, bool rebase) -> void
+auto totals_exchange<Network>::addToOutgoing(const service_total &total, bool rebase) -> void
 {
-    const auto growth = m_local.growthOf(total, rebase);
-    if (m_filter && !m_filter(total.account)) {
+    const auto delta = m_localDeltas.takeDelta(total, rebase);
+    if (m_accountFilter && !m_accountFilter(total.account)) {
         return;
     }
     for (auto &[dataCentre, outgoing] : m_outgoing) {
         if (outgoing.active) {
-            outgoing.sum.add(total.account, growth);
+            outgoing.sum.add(total.account, delta);
         }
     }
 }
 
-/// Data centre of a live member, or nothing. Copying all members for each message would cost more than the message.
+/// Returns the data centre of a live member, or an empty string. The cache avoids copying all members for each message,
+/// which costs more than handling the message.
 template<peer_network Network>
-auto totals_exchange<Network>::placeOf(incarnation_id who) -> std::string
+auto totals_exchange<Network>::findDataCentre(incarnation_id router) -> std::string
 {
-    if (!m_places.contains(who)) {
-        noteDataCentres(m_network.members());
+    if (!m_memberDataCentres.contains(router)) {
+        updateDataCentres(m_network.members());
     }
-    const auto known = m_places.find(who);
-    return known == m_places.end() ? std::string() : known->second;
+    const auto known = m_memberDataCentres.find(router);
+    return known == m_memberDataCentres.end() ? std::string() : known->second;
 }
 
-/// Whether \p from is heard for the first time and started after this router: then all its growth is to be counted.
+/// Whether \p from sends totals for the first time and started after this router, so that its totals count from 0.
 template<peer_network Network>
-auto totals_exchange<Network>::isNewcomer(incarnation_id from) -> bool
+auto totals_exchange<Network>::isNewRouter(incarnation_id from) -> bool
 {
-    constexpr auto mostRemembered = std::size_t(4'096); // The oldest go first, and won't come back.
-    const auto isFirst = m_heard.insert(from).second;
-    if (m_heard.size() > mostRemembered) {
-        m_heard.erase(m_heard.begin());
+    // The lowest incarnations are removed first, and do not return.
+    constexpr auto maxKnownSources = std::size_t(4'096);
+    const auto isFirst = m_knownSources.insert(from).second;
+    if (m_knownSources.size() > maxKnownSources) {
+        m_knownSources.erase(m_knownSources.begin());
     }
     return isFirst && from > m_network.self().incarnation;
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::onLost(incarnation_id who) -> void
+auto totals_exchange<Network>::onMemberLost(incarnation_id router) -> void
 {
-    const auto target = m_targets.find(who);
-    m_toldOffsets.erase(who);
+    const auto target = m_targets.find(router);
+    m_sentOffsetSerials.erase(router);
     if (target != m_targets.end()) {
-        target->second.told = 0; // What was on its way may be lost.
+        target->second.sentSerial = 0; // The last message may not have arrived.
     }
     for (auto &[dataCentre, outgoing] : m_outgoing) {
-        outgoing.told = outgoing.counterpart == who ? 0 : outgoing.told;
+        outgoing.sentSerial = outgoing.counterpart == router ? 0 : outgoing.sentSerial;
     }
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::noteDataCentres(const std::vector<member> &live) -> void
+auto totals_exchange<Network>::updateDataCentres(const std::vector<member> &live) -> void
 {
-    m_places.clear();
-    for (const auto &who : live) {
-        m_places[who.incarnation] = who.dataCentre;
-        if (who.dataCentre != m_network.self().dataCentre) {
-            m_dataCentres.insert(who.dataCentre);
+    m_memberDataCentres.clear();
+    for (const auto &router : live) {
+        m_memberDataCentres[router.incarnation] = router.dataCentre;
+        if (router.dataCentre != m_network.self().dataCentre) {
+            m_dataCentres.insert(router.dataCentre);
         }
     }
 }
@@ -151,10 +153,10 @@
     auto targets = std::set<incarnation_id>();
     const auto own = groupByDataCentre(live)[self.dataCentre];
     for (const auto service : m_services) {
-        targets.insert(dutyHolder(own, dispatcherDuty({ self.dataCentre, service })));
+        targets.insert(findRoleHolder(own, dispatcherRole({ self.dataCentre, service })));
     }
-    for (const auto &other : m_dataCentres) {
-        targets.insert(dutyHolder(own, gatewayDuty(self.dataCentre, other)));
+    for (const auto &otherDataCentre : m_dataCentres) {
+        targets.insert(findRoleHolder(own, gatewayRole(self.dataCentre, otherDataCentre)));
     }
     targets.erase(self.incarnation);
     targets.erase(0);
@@ -162,13 +164,13 @@
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::addOffsets(const std::string &dataCentre, const std::vector<service_total> &grown,
+auto totals_exchange<Network>::addOffsets(const std::string &dataCentre, const std::vector<service_total> &changed,
                                           wire::Envelope &out) -> void
 {
-    const auto &heard = m_offsetsHeard[dataCentre];
-    for (const auto &total : grown) {
-        const auto known = heard.find({ total.router, total.account });
-        const auto isKnown = known != heard.end() && known->second >= total.cost;
+    const auto &received = m_receivedOffsets[dataCentre];
+    for (const auto &total : changed) {
+        const auto known = received.find({ total.router, total.account });
+        const auto isKnown = known != received.end() && known->second >= total.cost;
         if (totals_exchange_detail::isOffset(total) && !isKnown) {
             encode(total, *out.add_totals());
         }
@@ -176,13 +178,13 @@
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::tellTarget(incarnation_id to, local_target &target) -> void
+auto totals_exchange<Network>::sendToTarget(incarnation_id to, local_target &target) -> void
 {
     const auto &self = m_network.self();
     auto message = std::make_unique<wire::Envelope>();
     auto next = target;
-    const auto grown = m_ledger.totalsSince(target.told, next.told);
-    for (const auto &total : grown) {
+    const auto changed = m_ledger.totalsSince(target.sentSerial, next.sentSerial);
+    for (const auto &total : changed) {
         const auto isOwn = total.router == self.incarnation;
         if (isOwn || m_remoteStreams.contains(total.router)) {
             auto &part = *message->add_totals();
@@ -190,7 +192,7 @@
             part.set_rebase(isOwn && target.rebase);
         }
     }
-    addOffsets(self.dataCentre, grown, *message);
+    addOffsets(self.dataCentre, changed, *message);
     next.rebase = false;
     if (message->totals_size() == 0 || m_network.send(to, std::move(message))) {
         target = std::move(next);
@@ -198,70 +200,73 @@
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::tellLocally(const std::vector<member> &live) -> void
+auto totals_exchange<Network>::sendLocally(const std::vector<member> &live) -> void
 {
     const auto targets = localTargets(live);
     std::erase_if(m_targets, [&](const auto &item) {
-        const auto isAlive =
-            std::any_of(live.begin(), live.end(), [&](const member &who) { return who.incarnation == item.first; });
-        return isAlive && !targets.contains(item.first); // Its duty moved; one that is lost may come back.
+        const auto isAlive = std::any_of(live.begin(), live.end(),
+                                         [&](const member &router) { return router.incarnation == item.first; });
+        // Its role moved. A target that is lost may return and keeps its entry.
+        return isAlive && !targets.contains(item.first);
     });
     for (const auto to : targets) {
-        tellTarget(to, m_targets[to]);
+        sendToTarget(to, m_targets[to]);
     }
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::refreshStreams(const std::vector<member> &live, const std::vector<member> &mine) -> void
+auto totals_exchange<Network>::updateOutgoingStreams(const std::vector<member> &live,
+                                                     const std::vector<member> &remoteCounterparts) -> void
 {
     const auto &self = m_network.self();
     const auto own = groupByDataCentre(live)[self.dataCentre];
-    for (const auto &other : m_dataCentres) {
-        const auto fresh = outgoing_stream{ growth_sum(streamNumber(other)) };
-        auto &outgoing = m_outgoing.try_emplace(other, fresh).first->second;
-        outgoing.active = dutyHolder(own, gatewayDuty(self.dataCentre, other)) == self.incarnation;
+    for (const auto &otherDataCentre : m_dataCentres) {
+        const auto initial = outgoing_stream{ aggregated_totals(streamNumber(otherDataCentre)) };
+        auto &outgoing = m_outgoing.try_emplace(otherDataCentre, initial).first->second;
+        outgoing.active = findRoleHolder(own, gatewayRole(self.dataCentre, otherDataCentre)) == self.incarnation;
     }
-    for (const auto &to : mine) {
+    for (const auto &to : remoteCounterparts) {
         auto &outgoing = m_outgoing.at(to.dataCentre);
         if (outgoing.counterpart != to.incarnation) {
             outgoing.counterpart = to.incarnation;
-            outgoing.told = 0;
+            outgoing.sentSerial = 0;
         }
     }
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::tellCounterpart(const member &to, outgoing_stream &outgoing) -> void
+auto totals_exchange<Network>::sendToCounterpart(const member &to, outgoing_stream &outgoing) -> void
 {
     auto message = std::make_unique<wire::Envelope>();
-    auto told = outgoing.told;
-    for (const auto &total : outgoing.sum.since(told, told)) {
+    auto sentSerial = outgoing.sentSerial;
+    for (const auto &total : outgoing.sum.changedSince(sentSerial, sentSerial)) {
         encode(total, *message->add_totals());
     }
-    auto toldOffsets = m_toldOffsets[to.incarnation];
-    addOffsets(to.dataCentre, m_ledger.totalsSince(toldOffsets, toldOffsets), *message);
+    auto sentOffsetSerial = m_sentOffsetSerials[to.incarnation];
+    addOffsets(to.dataCentre, m_ledger.totalsSince(sentOffsetSerial, sentOffsetSerial), *message);
     if (message->totals_size() == 0 || m_network.send(to.incarnation, std::move(message))) {
-        outgoing.told = told;
-        m_toldOffsets[to.incarnation] = toldOffsets;
+        outgoing.sentSerial = sentSerial;
+        m_sentOffsetSerials[to.incarnation] = sentOffsetSerial;
     }
 }
 
 template<peer_network Network>
-auto totals_exchange<Network>::tellCounterparts(const std::vector<member> &live, time_point now) -> void
+auto totals_exchange<Network>::sendToCounterparts(const std::vector<member> &live, time_point now) -> void
 {
     const auto &self = m_network.self();
-    const auto mine = counterparts(live, self);
-    refreshStreams(live, mine);
-    for (const auto &total : m_ledger.totalsSince(m_selfCounted, m_selfCounted)) {
+    const auto remoteCounterparts = counterparts(live, self);
+    updateOutgoingStreams(live, remoteCounterparts);
+    for (const auto &total : m_ledger.totalsSince(m_ownCountedSerial, m_ownCountedSerial)) {
         if (total.router == self.incarnation) {
-            countForOthers(total, false);
+            addToOutgoing(total, false);
         }
     }
-    for (const auto &to : mine) {
+    for (const auto &to : remoteCounterparts) {
         auto &outgoing = m_outgoing.at(to.dataCentre);
         if (now >= outgoing.nextSend) {
-            outgoing.nextSend = now + (to.region == self.region ? m_limits.near : m_limits.far);
-            tellCounterpart(to, outgoing);
+            outgoing.nextSend =
+                now + (to.region == self.region ? m_limits.sameRegionPeriod : m_limits.crossRegionPeriod);
+            sendToCounterpart(to, outgoing);
         }
     }
 }
@@ -272,11 +277,11 @@
     if (now < m_nextLocal) {
         return;
     }
-    m_nextLocal = now + m_limits.local;
+    m_nextLocal = now + m_limits.localPeriod;
     const auto live = m_network.members();
-    noteDataCentres(live);
-    tellLocally(live);
-    tellCounterparts(live, now);
+    updateDataCentres(live);
+    sendLocally(live);
+    sendToCounterparts(live, now);
 }
 
 } // namespace marjoramloom
--- a/include/marjoramloom/peer/wire_version.h
+++ b/include/marjoramloom/peer/wire_version.h
@@ -5,8 +5,8 @@
 
 namespace marjoramloom {
 
-/// Version of the messages between routers. Routers ignore envelopes of another one; within a version fields are only
-/// added.
+/// Version of the messages between routers. Routers ignore envelopes of another version; within a version, fields are
+/// only added.
 constexpr auto wireVersion = std::uint32_t(1);
 
 /// Largest message that a router accepts on its peer port, in bytes.
--- a/include/marjoramloom/router/dispatch_service.h
+++ b/include/marjoramloom/router/dispatch_service.h
@@ -2,8 +2,8 @@
 
 #include "marjoramloom/core/counters.h"
 #include "marjoramloom/peer/digest_exchange.h"
-#include "marjoramloom/peer/duty.h"
 #include "marjoramloom/peer/peer_links.h"
+#include "marjoramloom/peer/role.h"
 #include "marjoramloom/peer/totals_exchange.h"
 #include "marjoramloom/peer/wire_codec.h"
 #include "marjoramloom/router/held_dispatchers.h"
--- a/src/peer/digest_changes.cpp
+++ b/src/peer/digest_changes.cpp
@@ -7,35 +7,36 @@
 
 namespace marjoramloom {
 
-digest_encoder::digest_encoder(double serviceStep)
-    : m_serviceStep(serviceStep)
+digest_encoder::digest_encoder(double minServiceChange)
+    : m_minServiceChange(minServiceChange)
 {
 }
 
-auto digest_encoder::isNews(const waiting_account &current) const -> bool
+auto digest_encoder::hasChanged(const waiting_account &current) const -> bool
 {
-    constexpr auto ticketStep = 0.25;
+    constexpr auto minTicketChange = 0.25;
     const auto known = m_sent.find(current.account);
     if (known == m_sent.end()) {
         return true;
     }
     const auto before = known->second.tickets;
-    const auto moved = std::abs(double(current.tickets) - double(before));
-    return moved > ticketStep * before || std::abs(current.service - known->second.service) >= m_serviceStep;
+    const auto ticketChange = std::abs(double(current.tickets) - double(before));
+    return ticketChange > minTicketChange * before
+        || std::abs(current.service - known->second.service) >= m_minServiceChange;
 }
 
 auto digest_encoder::encodeChanges(const pool_digest &current, wire::PoolDigest &out) -> void
 {
     auto changes = pool_digest{ current.pool, m_serial + 1, current.spareSlots, {} };
-    auto gone = m_sent;
+    auto removed = m_sent;
     for (const auto &waiting : current.waiting) {
-        gone.erase(waiting.account);
-        if (isNews(waiting)) {
+        removed.erase(waiting.account);
+        if (hasChanged(waiting)) {
             changes.waiting.push_back(waiting);
             m_sent[waiting.account] = waiting;
         }
     }
-    for (const auto &[account, waiting] : gone) {
+    for (const auto &[account, waiting] : removed) {
         changes.waiting.push_back({ account, waiting.service, 0 });
         m_sent.erase(account);
     }
@@ -44,16 +45,17 @@
     ++m_serial;
 }
 
-auto digest_decoder::decodeChanges(const wire::PoolDigest &in, const std::string &peer, bool &wantsWhole,
+auto digest_decoder::decodeChanges(const wire::PoolDigest &in, const std::string &peer, bool &needsFullDigest,
                                    last_reason &why) -> std::optional<pool_digest>
 {
     auto changes = decodeDigest(in, peer, why);
     if (!changes) {
         return std::nullopt;
     }
-    wantsWhole = in.base() != 0 && in.base() != m_serial;
-    if (wantsWhole) {
-        return why.fail(failure_kind::conflict, "decode digest", peer, "changes of a digest that was not read");
+    needsFullDigest = in.base() != 0 && in.base() != m_serial;
+    if (needsFullDigest) {
+        return why.fail(failure_kind::conflict, "decode digest", peer,
+                        "the changes follow a digest that was not received");
     }
     if (in.base() == 0) {
         m_known.clear();
--- a/src/peer/inbound_streams.cpp
+++ b/src/peer/inbound_streams.cpp
@@ -2,34 +2,34 @@
 
 namespace marjoramloom {
 
-auto inbound_streams::arrive(incarnation_id sender, std::uint64_t stream, std::uint64_t sequence) -> arrival
+auto inbound_streams::checkOrder(incarnation_id sender, std::uint64_t stream, std::uint64_t sequence) -> receive_order
 {
     auto &known = m_positions[sender];
     if (stream < known.stream) {
-        return arrival::oldStream;
+        return receive_order::oldStream;
     }
     if (stream > known.stream) {
         known = position{ stream, 0, false };
     }
-    if (sequence <= known.heard) {
-        return arrival::repeated;
+    if (sequence <= known.lastSequence) {
+        return receive_order::repeated;
     }
-    if (sequence != known.heard + 1) {
-        known.gap = true;
-        return arrival::gap;
+    if (sequence != known.lastSequence + 1) {
+        known.hasGap = true;
+        return receive_order::gap;
     }
-    known.heard = sequence;
-    known.gap = false;
-    return arrival::next;
+    known.lastSequence = sequence;
+    known.hasGap = false;
+    return receive_order::next;
 }
 
-auto inbound_streams::of(incarnation_id sender) const -> position
+auto inbound_streams::positionOf(incarnation_id sender) const -> position
 {
     const auto known = m_positions.find(sender);
     return known == m_positions.end() ? position{} : known->second;
 }
 
-auto inbound_streams::forget(incarnation_id sender) -> void
+auto inbound_streams::removeSender(incarnation_id sender) -> void
 {
     m_positions.erase(sender);
 }
--- a/src/peer/membership.cpp
+++ b/src/peer/membership.cpp
@@ -23,120 +23,120 @@
     , m_limits(limits)
 {
     assert(m_self.incarnation != 0 && !m_self.instance.empty() && !m_self.dataCentre.empty());
-    m_self.direct = true;
+    m_self.heardDirectly = true;
 }
 
-auto membership::isObsolete(const member &who) const -> bool
+auto membership::isObsolete(const member &router) const -> bool
 {
-    if (m_replaced.contains(who.incarnation)) {
+    if (m_replacedAt.contains(router.incarnation)) {
         return true;
     }
-    if (who.instance == m_self.instance && who.incarnation != m_self.incarnation) {
-        return who.incarnation < m_self.incarnation;
+    if (router.instance == m_self.instance && router.incarnation != m_self.incarnation) {
+        return router.incarnation < m_self.incarnation;
     }
-    const auto previous = m_byInstance.find(who.instance);
-    if (previous == m_byInstance.end() || previous->second == who.incarnation) {
+    const auto previous = m_byInstance.find(router.instance);
+    if (previous == m_byInstance.end() || previous->second == router.incarnation) {
         return false;
     }
-    const auto &standing = m_entries.at(previous->second);
-    return standing.alive && who.incarnation < standing.known.incarnation;
+    const auto &entry = m_entries.at(previous->second);
+    return entry.isAlive && router.incarnation < entry.info.incarnation;
 }
 
-auto membership::replacePrevious(const member &who, time_point now) -> void
+auto membership::removePreviousIncarnation(const member &router, time_point now) -> void
 {
-    const auto previous = m_byInstance.find(who.instance);
-    if (previous == m_byInstance.end() || previous->second == who.incarnation) {
+    const auto previous = m_byInstance.find(router.instance);
+    if (previous == m_byInstance.end() || previous->second == router.incarnation) {
         return;
     }
-    const auto standing = m_entries.find(previous->second);
-    if (standing->second.alive) {
-        m_events.push_back({ standing->second.known, false });
+    const auto entry = m_entries.find(previous->second);
+    if (entry->second.isAlive) {
+        m_events.push_back({ entry->second.info, false });
     }
-    m_replaced[standing->first] = now;
-    m_entries.erase(standing);
+    m_replacedAt[entry->first] = now;
+    m_entries.erase(entry);
 }
 
-auto membership::refresh(const member &who, time_point now) -> heard_result
+auto membership::refresh(const member &router, time_point now) -> heartbeat_result
 {
-    if (who.incarnation == m_self.incarnation) {
-        return heard_result::stale;
+    if (router.incarnation == m_self.incarnation) {
+        return heartbeat_result::stale;
     }
-    if (isObsolete(who)) {
-        return heard_result::obsolete;
+    if (isObsolete(router)) {
+        return heartbeat_result::obsolete;
     }
-    replacePrevious(who, now);
-    auto &standing = m_entries[who.incarnation];
-    if (who.beat <= standing.known.beat) {
-        return heard_result::stale;
+    removePreviousIncarnation(router, now);
+    auto &entry = m_entries[router.incarnation];
+    if (router.heartbeatCount <= entry.info.heartbeatCount) {
+        return heartbeat_result::stale;
     }
-    const auto joined = !standing.alive;
-    const auto changed = joined || standing.known.ready != who.ready || standing.known.leaving != who.leaving
-        || standing.known.peerAddress != who.peerAddress;
-    standing.known = who;
-    standing.lastHeard = now;
-    standing.alive = true;
-    m_byInstance[who.instance] = who.incarnation;
+    const auto joined = !entry.isAlive;
+    const auto changed = joined || entry.info.ready != router.ready || entry.info.leaving != router.leaving
+        || entry.info.peerAddress != router.peerAddress;
+    entry.info = router;
+    entry.lastHeartbeat = now;
+    entry.isAlive = true;
+    m_byInstance[router.instance] = router.incarnation;
     if (changed) {
-        m_events.push_back({ who, true });
+        m_events.push_back({ router, true });
     }
-    return joined ? heard_result::joined : heard_result::refreshed;
+    return joined ? heartbeat_result::joined : heartbeat_result::refreshed;
 }
 
-auto membership::hear(const member &who, time_point now) -> heard_result
+auto membership::onHeartbeat(const member &router, time_point now) -> heartbeat_result
 {
-    const auto result = refresh(who, now);
-    if (result == heard_result::joined || result == heard_result::refreshed) {
-        m_entries[who.incarnation].lastDirect = now;
+    const auto result = refresh(router, now);
+    if (result == heartbeat_result::joined || result == heartbeat_result::refreshed) {
+        m_entries[router.incarnation].lastDirectHeartbeat = now;
     }
     return result;
 }
 
-auto membership::hearAgain(const member &who, time_point now) -> heard_result
+auto membership::onShortHeartbeat(const member &router, time_point now) -> heartbeat_result
 {
-    const auto standing = m_entries.find(who.incarnation);
-    if (standing == m_entries.end()) {
-        return m_replaced.contains(who.incarnation) ? heard_result::obsolete : heard_result::stale;
+    const auto entry = m_entries.find(router.incarnation);
+    if (entry == m_entries.end()) {
+        return m_replacedAt.contains(router.incarnation) ? heartbeat_result::obsolete : heartbeat_result::stale;
     }
-    auto whole = standing->second.known;
-    whole.beat = who.beat;
-    whole.configurationSequence = who.configurationSequence;
-    whole.ready = who.ready;
-    whole.leaving = who.leaving;
-    return hear(whole, now);
+    auto complete = entry->second.info;
+    complete.heartbeatCount = router.heartbeatCount;
+    complete.configurationSequence = router.configurationSequence;
+    complete.ready = router.ready;
+    complete.leaving = router.leaving;
+    return onHeartbeat(complete, now);
 }
 
-auto membership::hearThrough(const member &who, time_point now) -> heard_result
+auto membership::onRelayedHeartbeat(const member &router, time_point now) -> heartbeat_result
 {
-    return refresh(who, now);
+    return refresh(router, now);
 }
 
-auto membership::absorb(const roster &news, time_point now) -> bool
+auto membership::mergeRoster(const roster &update, time_point now) -> bool
 {
-    if (news.dataCentre == m_self.dataCentre) {
+    if (update.dataCentre == m_self.dataCentre) {
         return true;
     }
-    auto &standing = m_rosters[{ news.dataCentre, news.source }];
-    if (news.beat <= standing.beat) {
+    auto &entry = m_rosters[{ update.dataCentre, update.source }];
+    if (update.heartbeatCount <= entry.heartbeatCount) {
         return true;
     }
-    if (news.members.empty() && (standing.version != news.version || !allAlive(standing.members))) {
+    if (update.members.empty() && (entry.version != update.version || !allAlive(entry.members))) {
         return false;
     }
-    if (!news.members.empty()) {
-        standing.members.clear();
-        for (const auto &who : news.members) {
-            standing.members.push_back(who.incarnation);
+    if (!update.members.empty()) {
+        entry.members.clear();
+        for (const auto &router : update.members) {
+            entry.members.push_back(router.incarnation);
         }
     }
-    standing.beat = news.beat;
-    standing.version = news.version;
-    standing.lastHeard = now;
-    for (const auto &who : news.members) {
-        refresh(who, now);
+    entry.heartbeatCount = update.heartbeatCount;
+    entry.version = update.version;
+    entry.lastHeartbeat = now;
+    for (const auto &router : update.members) {
+        refresh(router, now);
     }
-    for (const auto incarnation : standing.members) {
-        if (const auto known = m_entries.find(incarnation); known != m_entries.end() && known->second.alive) {
-            known->second.lastHeard = now;
+    for (const auto incarnation : entry.members) {
+        if (const auto known = m_entries.find(incarnation); known != m_entries.end() && known->second.isAlive) {
+            known->second.lastHeartbeat = now;
         }
     }
     return true;
@@ -147,48 +147,48 @@
     return std::all_of(incarnations.begin(), incarnations.end(), [&](auto one) { return find(one) != nullptr; });
 }
 
-auto membership::ownRoster(bool whole, time_point now) const -> roster
+auto membership::localRoster(bool includeMembers, time_point now) const -> roster
 {
-    auto own = roster{ m_self.dataCentre, m_self.incarnation, m_self.beat, 0, { m_self } };
-    for (const auto &[incarnation, standing] : m_entries) {
-        if (standing.alive && standing.known.dataCentre == m_self.dataCentre && isDirect(incarnation, now)) {
-            own.members.push_back(give(standing, now));
+    auto own = roster{ m_self.dataCentre, m_self.incarnation, m_self.heartbeatCount, 0, { m_self } };
+    for (const auto &[incarnation, entry] : m_entries) {
+        if (entry.isAlive && entry.info.dataCentre == m_self.dataCentre && isHeardDirectly(incarnation, now)) {
+            own.members.push_back(copyWithAge(entry, now));
         }
     }
-    for (const auto &who : own.members) {
-        const auto state = (who.ready ? 1U : 0U) + (who.leaving ? 2U : 0U);
-        own.version ^= hash64(who.instance + '\n' + who.peerAddress, who.incarnation * 4 + state);
+    for (const auto &router : own.members) {
+        const auto state = (router.ready ? 1U : 0U) + (router.leaving ? 2U : 0U);
+        own.version ^= hash64(router.instance + '\n' + router.peerAddress, router.incarnation * 4 + state);
     }
-    if (!whole) {
+    if (!includeMembers) {
         own.members.clear();
     }
     return own;
 }
 
-auto membership::timeoutOf(const entry &which) const -> duration
+auto membership::timeoutOf(const member_entry &entry) const -> duration
 {
-    const auto byRoster = which.known.dataCentre != m_self.dataCentre;
+    const auto byRoster = entry.info.dataCentre != m_self.dataCentre;
     return byRoster ? m_limits.remoteTimeout : m_limits.timeout;
 }
 
 auto membership::expire(time_point now) -> void
 {
-    for (auto &[incarnation, standing] : m_entries) {
-        if (standing.alive && now - standing.lastHeard > timeoutOf(standing)) {
-            standing.alive = false;
-            m_events.push_back({ standing.known, false });
+    for (auto &[incarnation, entry] : m_entries) {
+        if (entry.isAlive && now - entry.lastHeartbeat > timeoutOf(entry)) {
+            entry.isAlive = false;
+            m_events.push_back({ entry.info, false });
         }
     }
     std::erase_if(m_entries, [&](const auto &item) {
-        const auto &standing = item.second;
-        const auto forgotten = !standing.alive && now - standing.lastHeard > m_limits.forgetAfter;
-        if (forgotten) {
-            m_byInstance.erase(standing.known.instance);
+        const auto &entry = item.second;
+        const auto isRemoved = !entry.isAlive && now - entry.lastHeartbeat > m_limits.removeAfter;
+        if (isRemoved) {
+            m_byInstance.erase(entry.info.instance);
         }
-        return forgotten;
+        return isRemoved;
     });
-    std::erase_if(m_replaced, [&](const auto &item) { return now - item.second > m_limits.forgetAfter; });
-    std::erase_if(m_rosters, [&](const auto &item) { return now - item.second.lastHeard > m_limits.forgetAfter; });
+    std::erase_if(m_replacedAt, [&](const auto &item) { return now - item.second > m_limits.removeAfter; });
+    std::erase_if(m_rosters, [&](const auto &item) { return now - item.second.lastHeartbeat > m_limits.removeAfter; });
 }
 
 auto membership::takeEvents() -> std::vector<member_event>
@@ -196,7 +196,7 @@
     return std::exchange(m_events, {});
 }
 
-auto membership::setListed(std::vector<listed_instance> listed) -> void
+auto membership::setListedRouters(std::vector<listed_instance> listed) -> void
 {
     m_listed = std::move(listed);
     m_listedLeaving.clear();
@@ -212,30 +212,30 @@
     return m_listed;
 }
 
-auto membership::hint(const std::string &dataCentre, const std::string &address) -> bool
+auto membership::addAddressHint(const std::string &dataCentre, const std::string &address) -> bool
 {
-    constexpr auto mostHints = std::size_t(3);
+    constexpr auto maxHints = std::size_t(3);
     if (dataCentre == m_self.dataCentre || dataCentre.empty() || address.empty()) {
         return false;
     }
-    auto &known = m_hints[dataCentre];
+    auto &known = m_addressHints[dataCentre];
     const auto isNew = known.empty();
     std::erase(known, address);
     known.push_back(address);
-    if (known.size() > mostHints) {
+    if (known.size() > maxHints) {
         known.erase(known.begin());
     }
     return isNew;
 }
 
-auto membership::hints() const -> const std::map<std::string, std::vector<std::string>> &
+auto membership::addressHints() const -> const std::map<std::string, std::vector<std::string>> &
 {
-    return m_hints;
+    return m_addressHints;
 }
 
-auto membership::listedAsLeaving(const member &who) const -> bool
+auto membership::isListedAsLeaving(const member &router) const -> bool
 {
-    return m_listedLeaving.contains({ who.instance, who.peerAddress });
+    return m_listedLeaving.contains({ router.instance, router.peerAddress });
 }
 
 auto membership::self() -> member &
@@ -248,21 +248,22 @@
     return m_self;
 }
 
-auto membership::give(const entry &which, time_point now) const -> member
+auto membership::copyWithAge(const member_entry &entry, time_point now) const -> member
 {
-    auto copy = which.known;
-    copy.age = now - which.lastHeard;
-    copy.direct = which.lastDirect != time_point::min() && now - which.lastDirect <= timeoutOf(which);
-    copy.leaving = copy.leaving || listedAsLeaving(copy);
+    auto copy = entry.info;
+    copy.age = now - entry.lastHeartbeat;
+    copy.heardDirectly =
+        entry.lastDirectHeartbeat != time_point::min() && now - entry.lastDirectHeartbeat <= timeoutOf(entry);
+    copy.leaving = copy.leaving || isListedAsLeaving(copy);
     return copy;
 }
 
 auto membership::members(time_point now) const -> std::vector<member>
 {
     auto live = std::vector<member>{ m_self };
-    for (const auto &[incarnation, standing] : m_entries) {
-        if (standing.alive) {
-            live.push_back(give(standing, now));
+    for (const auto &[incarnation, entry] : m_entries) {
+        if (entry.isAlive) {
+            live.push_back(copyWithAge(entry, now));
         }
     }
     return live;
@@ -270,33 +271,33 @@
 
 auto membership::find(incarnation_id incarnation) const -> const member *
 {
-    const auto standing = m_entries.find(incarnation);
-    const auto alive = standing != m_entries.end() && standing->second.alive;
-    return alive ? &standing->second.known : nullptr;
+    const auto entry = m_entries.find(incarnation);
+    const auto alive = entry != m_entries.end() && entry->second.isAlive;
+    return alive ? &entry->second.info : nullptr;
 }
 
-auto membership::remembers(incarnation_id incarnation) const -> bool
+auto membership::isKnown(incarnation_id incarnation) const -> bool
 {
     return m_entries.contains(incarnation);
 }
 
 auto membership::suspects(time_point now) const -> std::vector<incarnation_id>
 {
-    auto silent = std::vector<incarnation_id>();
-    for (const auto &[incarnation, standing] : m_entries) {
-        const auto local = standing.known.dataCentre == m_self.dataCentre;
-        if (local && standing.alive && now - standing.lastHeard > m_limits.suspectAfter) {
-            silent.push_back(incarnation);
+    auto suspected = std::vector<incarnation_id>();
+    for (const auto &[incarnation, entry] : m_entries) {
+        const auto local = entry.info.dataCentre == m_self.dataCentre;
+        if (local && entry.isAlive && now - entry.lastHeartbeat > m_limits.suspectAfter) {
+            suspected.push_back(incarnation);
         }
     }
-    return silent;
+    return suspected;
 }
 
-auto membership::isDirect(incarnation_id incarnation, time_point now) const -> bool
+auto membership::isHeardDirectly(incarnation_id incarnation, time_point now) const -> bool
 {
-    const auto standing = m_entries.find(incarnation);
-    return standing != m_entries.end() && standing->second.lastDirect != time_point::min()
-        && now - standing->second.lastDirect <= timeoutOf(standing->second);
+    const auto entry = m_entries.find(incarnation);
+    return entry != m_entries.end() && entry->second.lastDirectHeartbeat != time_point::min()
+        && now - entry->second.lastDirectHeartbeat <= timeoutOf(entry->second);
 }
 
 } // namespace marjoramloom
--- a/src/peer/nng_transport.cpp
+++ b/src/peer/nng_transport.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr auto shortestReconnect = nng_duration(100); ///< Milliseconds.
-constexpr auto longestReconnect = nng_duration(1'000); ///< Milliseconds.
+constexpr auto minReconnectMs = nng_duration(100);
+constexpr auto maxReconnectMs = nng_duration(1'000);
 
 auto takeMessage(nng_aio *aio) -> std::string
 {
@@ -23,7 +23,7 @@
     return bytes;
 }
 
-auto childValue(nng_stat *scope, std::string_view name) -> std::uint64_t
+auto findChildValue(nng_stat *scope, std::string_view name) -> std::uint64_t
 {
     for (auto *value = nng_stat_child(scope); value; value = nng_stat_next(value)) {
         if (nng_stat_name(value) == name) {
@@ -35,14 +35,15 @@
 
 } // namespace
 
-/// What callbacks reach; links that were closed meanwhile are not found any more.
+/// Shared state of the callbacks, which may run after a link was closed or the transport was destroyed.
 struct nng_transport::handlers
 {
     message_handler message;
     writable_handler writable;
-    nng_transport *owner = nullptr; ///< Null once the transport is gone.
+    nng_transport *owner = nullptr; ///< Null after the transport was destroyed.
 };
 
+/// The listening socket and its receive operation.
 struct nng_transport::listener
 {
     nng_socket socket = NNG_SOCKET_INITIALIZER;
@@ -64,13 +65,13 @@
         nng_recv_aio(socket, aio);
     }
 
-    /// Runs on a thread of nng. The next message is asked for only after this one was handled, so that a peer cannot
-    /// fill the memory.
+    /// Called on a thread of nng. The next message is requested only after this one was handled, so that a peer cannot
+    /// exhaust the memory.
     static auto onReceived(void *argument) -> void
     {
         auto &self = *static_cast<listener *>(argument);
         if (nng_aio_result(self.aio) != 0) {
-            return; // Closed.
+            return; // The socket was closed.
         }
         boost::asio::post(self.executor, [target = self.target, bytes = takeMessage(self.aio)]() mutable {
             const auto alive = target.lock();
@@ -87,7 +88,8 @@
     }
 };
 
-struct nng_transport::outgoing
+/// The socket and the send operation of one link.
+struct nng_transport::outgoing_link
 {
     nng_socket socket = NNG_SOCKET_INITIALIZER;
     nng_aio *aio = nullptr;
@@ -96,18 +98,18 @@
     boost::asio::any_io_executor executor;
     std::weak_ptr<handlers> target;
 
-    ~outgoing()
+    ~outgoing_link()
     {
         nng_close(socket);
         nng_aio_free(aio);
     }
 
-    /// Runs on a thread of nng.
+    /// Called on a thread of nng.
     static auto onSent(void *argument) -> void
     {
-        auto &self = *static_cast<outgoing *>(argument);
+        auto &self = *static_cast<outgoing_link *>(argument);
         if (nng_aio_result(self.aio) != 0) {
-            nng_msg_free(nng_aio_get_msg(self.aio)); // Closed.
+            nng_msg_free(nng_aio_get_msg(self.aio)); // The socket was closed.
             return;
         }
         boost::asio::post(self.executor, [target = self.target, number = self.number] {
@@ -144,25 +146,25 @@
 auto nng_transport::listen(const std::string &address, last_reason &why) -> bool
 {
     assert(!m_listener);
-    auto fresh = std::make_unique<listener>();
-    fresh->executor = m_executor;
-    fresh->target = m_handlers;
-    auto failure = nng_pull0_open(&fresh->socket);
+    auto created = std::make_unique<listener>();
+    created->executor = m_executor;
+    created->target = m_handlers;
+    auto failure = nng_pull0_open(&created->socket);
     if (failure == 0) {
-        failure = nng_aio_alloc(&fresh->aio, &listener::onReceived, fresh.get());
+        failure = nng_aio_alloc(&created->aio, &listener::onReceived, created.get());
     }
     if (failure == 0) {
-        nng_socket_set_size(fresh->socket, NNG_OPT_RECVMAXSZ, wireMessageLimit);
-        failure = nng_listen(fresh->socket, ("tcp://" + address).c_str(), &fresh->endpoint, 0);
+        nng_socket_set_size(created->socket, NNG_OPT_RECVMAXSZ, wireMessageLimit);
+        failure = nng_listen(created->socket, ("tcp://" + address).c_str(), &created->endpoint, 0);
     }
     if (failure != 0) {
         why.fail(failure_kind::unavailable, "listen for peers", address, nng_strerror(failure));
         return false;
     }
     auto port = 0;
-    nng_listener_get_int(fresh->endpoint, NNG_OPT_TCP_BOUND_PORT, &port);
+    nng_listener_get_int(created->endpoint, NNG_OPT_TCP_BOUND_PORT, &port);
     m_listenAddress = address.substr(0, address.rfind(':') + 1) + std::to_string(port);
-    m_listener = std::move(fresh);
+    m_listener = std::move(created);
     m_listener->receiveNext();
     return true;
 }
@@ -184,19 +186,19 @@
 
 auto nng_transport::open(const std::string &address) -> link_number
 {
-    auto fresh = std::make_unique<outgoing>();
-    fresh->number = ++m_last;
-    fresh->executor = m_executor;
-    fresh->target = m_handlers;
-    [[maybe_unused]] const auto opened = nng_push0_open(&fresh->socket);
-    [[maybe_unused]] const auto allocated = nng_aio_alloc(&fresh->aio, &outgoing::onSent, fresh.get());
+    auto created = std::make_unique<outgoing_link>();
+    created->number = ++m_lastLink;
+    created->executor = m_executor;
+    created->target = m_handlers;
+    [[maybe_unused]] const auto opened = nng_push0_open(&created->socket);
+    [[maybe_unused]] const auto allocated = nng_aio_alloc(&created->aio, &outgoing_link::onSent, created.get());
     assert(opened == 0 && allocated == 0);
-    nng_aio_set_timeout(fresh->aio, NNG_DURATION_INFINITE);
-    nng_socket_set_ms(fresh->socket, NNG_OPT_RECONNMINT, shortestReconnect);
-    nng_socket_set_ms(fresh->socket, NNG_OPT_RECONNMAXT, longestReconnect);
-    nng_dial(fresh->socket, ("tcp://" + address).c_str(), nullptr, NNG_FLAG_NONBLOCK);
-    const auto number = fresh->number;
-    m_links.emplace(number, std::move(fresh));
+    nng_aio_set_timeout(created->aio, NNG_DURATION_INFINITE);
+    nng_socket_set_ms(created->socket, NNG_OPT_RECONNMINT, minReconnectMs);
+    nng_socket_set_ms(created->socket, NNG_OPT_RECONNMAXT, maxReconnectMs);
+    nng_dial(created->socket, ("tcp://" + address).c_str(), nullptr, NNG_FLAG_NONBLOCK);
+    const auto number = created->number;
+    m_links.emplace(number, std::move(created));
     return number;
 }
 
@@ -233,8 +235,8 @@
     const auto id = static_cast<std::uint64_t>(nng_listener_id(m_listener->endpoint));
     auto rejected = std::uint64_t(0);
     for (auto *scope = nng_stat_child(all); scope; scope = nng_stat_next(scope)) {
-        if (nng_stat_name(scope) == std::string_view("listener") && childValue(scope, "id") == id) {
-            rejected = childValue(scope, "proto");
+        if (nng_stat_name(scope) == std::string_view("listener") && findChildValue(scope, "id") == id) {
+            rejected = findChildValue(scope, "proto");
         }
     }
     nng_stats_free(all);
--- a/src/peer/peer_links.cpp
+++ b/src/peer/peer_links.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// Timeouts are looked at this often within one heartbeat.
+/// Number of checks of timeouts within one heartbeat period.
 constexpr auto ticksPerHeartbeat = 5;
 
 } // namespace
 
+/// Implementation of peer_links, to which the timer callback keeps a weak reference.
 struct peer_links::state : std::enable_shared_from_this<peer_links::state>
 {
     state(boost::asio::any_io_executor strand, member self, peer_mesh_settings limits, counter_registry &registry)
@@ -54,11 +55,11 @@
 {
     m_state->mesh.setMemberListener([raw = m_state.get()](const member_event &event) {
         log_line(log_level::info, event.joined ? "member" : "member_lost")
-            .with("instance", event.who.instance)
-            .with("incarnation", event.who.incarnation)
-            .with("data_centre", event.who.dataCentre)
-            .with("ready", static_cast<int>(event.who.ready))
-            .with("leaving", static_cast<int>(event.who.leaving));
+            .with("instance", event.memberInfo.instance)
+            .with("incarnation", event.memberInfo.incarnation)
+            .with("data_centre", event.memberInfo.dataCentre)
+            .with("ready", static_cast<int>(event.memberInfo.ready))
+            .with("leaving", static_cast<int>(event.memberInfo.leaving));
         if (raw->listener) {
             raw->listener(event);
         }
@@ -72,20 +73,20 @@
 
 auto peer_links::start(const std::string &address, last_reason &why) -> bool
 {
-    auto &own = *m_state;
-    own.transport->setMessageHandler(
+    auto &state = *m_state;
+    state.transport->setMessageHandler(
         [raw = m_state.get()](std::string bytes) { raw->mesh.receive(bytes, raw->clock.now()); });
-    own.transport->setWritableHandler(
-        [raw = m_state.get()](link_number link) { raw->mesh.writable(link, raw->clock.now()); });
-    if (!own.transport->listen(address, why)) {
+    state.transport->setWritableHandler(
+        [raw = m_state.get()](link_number link) { raw->mesh.onWritable(link, raw->clock.now()); });
+    if (!state.transport->listen(address, why)) {
         return false;
     }
-    auto &self = own.mesh.routers().self();
+    auto &self = state.mesh.routers().self();
     if (self.peerAddress.empty()) {
-        self.peerAddress = own.transport->listenAddress();
+        self.peerAddress = state.transport->listenAddress();
     }
-    own.mesh.tick(own.clock.now());
-    own.scheduleTick();
+    state.mesh.tick(state.clock.now());
+    state.scheduleTick();
     return true;
 }
 
@@ -113,15 +114,15 @@
     m_state->mesh.setSeeds(std::move(seeds));
 }
 
-auto peer_links::setListed(const std::vector<listed_instance> &listed) -> void
+auto peer_links::setListedRouters(const std::vector<listed_instance> &listed) -> void
 {
     auto routers = std::vector<listed_instance>();
-    for (const auto &row : listed) {
-        if (row.role == instance_role::router) {
-            routers.push_back(row);
+    for (const auto &instance : listed) {
+        if (instance.role == instance_role::router) {
+            routers.push_back(instance);
         }
     }
-    m_state->mesh.routers().setListed(std::move(routers));
+    m_state->mesh.routers().setListedRouters(std::move(routers));
 }
 
 auto peer_links::setReady(bool ready) -> void
--- a/src/peer/peer_session.cpp
+++ b/src/peer/peer_session.cpp
@@ -12,7 +12,7 @@
     : m_self(self)
     , m_stream(stream)
     , m_limits(limits)
-    , m_progress(now)
+    , m_lastProgress(now)
 {
 }
 
@@ -33,10 +33,10 @@
     m_pendingBytes = 0;
     m_sent.clear();
     m_sentBytes = 0;
-    m_cursor = 0;
-    m_progress = now;
-    m_dials = 0;
-    m_unproved = true;
+    m_sendPosition = 0;
+    m_lastProgress = now;
+    m_reconnectAttempts = 0;
+    m_unacknowledged = true;
 }
 
 auto peer_session::peer() const -> incarnation_id
@@ -47,11 +47,11 @@
 auto peer_session::queue(std::unique_ptr<wire::Envelope> message) -> bool
 {
     const auto size = message->ByteSizeLong();
-    if (m_pendingBytes + size > m_limits.pendingBytes) {
+    if (m_pendingBytes + size > m_limits.maxPendingBytes) {
         return false;
     }
     m_pendingBytes += size;
-    if (!m_pending.empty() && m_pendingSizes.back() + size <= m_limits.envelopeBytes) {
+    if (!m_pending.empty() && m_pendingSizes.back() + size <= m_limits.maxEnvelopeBytes) {
         m_pending.back()->MergeFrom(*message);
         m_pendingSizes.back() += size;
         return true;
@@ -67,9 +67,9 @@
                        [](const auto &pending) { return pending->has_heartbeat(); });
 }
 
-auto peer_session::hasWork() const -> bool
+auto peer_session::hasDataToSend() const -> bool
 {
-    return m_cursor < m_sent.size() || (!m_pending.empty() && m_sentBytes < m_limits.windowBytes);
+    return m_sendPosition < m_sent.size() || (!m_pending.empty() && m_sentBytes < m_limits.maxUnacknowledgedBytes);
 }
 
 auto peer_session::takePending() -> std::unique_ptr<wire::Envelope>
@@ -81,7 +81,7 @@
     return message;
 }
 
-auto peer_session::encode(wire::Envelope &message, std::uint64_t heardStream, std::uint64_t heard,
+auto peer_session::encode(wire::Envelope &message, std::uint64_t receivedStream, std::uint64_t receivedSequence,
                           bool resendWanted) const -> std::string
 {
     message.set_version(wireVersion);
@@ -89,32 +89,33 @@
     message.set_receiver(m_peer);
     message.set_stream(m_stream);
     message.set_sequence(m_sequence);
-    message.set_heard_stream(heardStream);
-    message.set_heard(heard);
+    message.set_heard_stream(receivedStream);
+    message.set_heard(receivedSequence);
     message.set_resend_wanted(resendWanted);
     return message.SerializeAsString();
 }
 
-auto peer_session::next(std::uint64_t heardStream, std::uint64_t heard, bool resendWanted, time_point now)
+auto peer_session::next(std::uint64_t receivedStream, std::uint64_t receivedSequence, bool resendWanted, time_point now)
     -> std::optional<std::string>
 {
-    if (m_cursor < m_sent.size()) {
-        return m_sent[m_cursor++].bytes;
+    if (m_sendPosition < m_sent.size()) {
+        return m_sent[m_sendPosition++].bytes;
     }
-    if (!hasWork()) {
+    if (!hasDataToSend()) {
         return std::nullopt;
     }
     auto message = takePending();
     if (m_peer == 0) {
-        return encode(*message, heardStream, heard, resendWanted); // Not numbered: nobody can acknowledge it yet.
+        // Without a sequence number, as there is no known peer that could acknowledge it.
+        return encode(*message, receivedStream, receivedSequence, resendWanted);
     }
     if (m_sent.empty()) {
-        m_progress = now;
+        m_lastProgress = now;
     }
     ++m_sequence;
-    m_sent.push_back({ m_sequence, encode(*message, heardStream, heard, resendWanted) });
+    m_sent.push_back({ m_sequence, encode(*message, receivedStream, receivedSequence, resendWanted) });
     m_sentBytes += m_sent.back().bytes.size();
-    ++m_cursor;
+    ++m_sendPosition;
     return m_sent.back().bytes;
 }
 
@@ -124,48 +125,48 @@
         return;
     }
     m_acknowledged = sequence;
-    m_progress = now;
-    m_dials = 0;
-    m_unproved = false;
+    m_lastProgress = now;
+    m_reconnectAttempts = 0;
+    m_unacknowledged = false;
     while (!m_sent.empty() && m_sent.front().sequence <= sequence) {
         m_sentBytes -= m_sent.front().bytes.size();
         m_sent.pop_front();
-        m_cursor -= m_cursor > 0 ? 1 : 0;
+        m_sendPosition -= m_sendPosition > 0 ? 1 : 0;
     }
 }
 
-auto peer_session::rewind(time_point now) -> void
+auto peer_session::resendUnacknowledged(time_point now) -> void
 {
-    constexpr auto shortestPause = std::chrono::milliseconds(100);
-    if (m_rewound == time_point::min() || now - m_rewound >= shortestPause) {
-        m_rewound = now;
-        m_cursor = 0;
+    constexpr auto minResendInterval = std::chrono::milliseconds(100);
+    if (m_lastResend == time_point::min() || now - m_lastResend >= minResendInterval) {
+        m_lastResend = now;
+        m_sendPosition = 0;
     }
 }
 
-auto peer_session::isUnproved() const -> bool
+auto peer_session::isUnacknowledged() const -> bool
 {
-    return m_unproved;
+    return m_unacknowledged;
 }
 
-auto peer_session::isSilent(duration limit, time_point now) const -> bool
+auto peer_session::hasTimedOut(duration limit, time_point now) const -> bool
 {
-    constexpr auto mostDoublings = 8U;
-    const auto waits = m_peer == 0 || !m_sent.empty();
-    const auto pause =
-        std::min(limit * (1U << std::min(m_dials, mostDoublings)), std::max(limit, m_limits.redialLimit));
-    return waits && now - m_progress > pause;
+    constexpr auto maxDoublings = 8U;
+    const auto isAwaitingAnswer = m_peer == 0 || !m_sent.empty();
+    const auto timeout = std::min(limit * (1U << std::min(m_reconnectAttempts, maxDoublings)),
+                                  std::max(limit, m_limits.maxReconnectDelay));
+    return isAwaitingAnswer && now - m_lastProgress > timeout;
 }
 
-auto peer_session::redialled(time_point now) -> void
+auto peer_session::onReconnect(time_point now) -> void
 {
-    m_cursor = 0;
-    m_progress = now;
-    ++m_dials;
-    m_unproved = true;
+    m_sendPosition = 0;
+    m_lastProgress = now;
+    ++m_reconnectAttempts;
+    m_unacknowledged = true;
 }
 
-auto peer_session::bytes() const -> std::size_t
+auto peer_session::bufferedBytes() const -> std::size_t
 {
     return m_pendingBytes + m_sentBytes;
 }
--- a/src/peer/topology.cpp
+++ b/src/peer/topology.cpp
@@ -1,6 +1,6 @@
 #include "marjoramloom/peer/topology.h"
 
-#include "marjoramloom/peer/duty.h"
+#include "marjoramloom/peer/role.h"
 
 #include <algorithm>
 
@@ -8,37 +8,37 @@
 
 namespace {
 
-/// A gateway that hears nothing of its counterpart tries the next ones too, up to this many.
-constexpr auto mostGatewayTries = std::size_t(3);
+/// If the counterpart is not heard directly, the gateway also connects to the next candidates, up to this number.
+constexpr auto maxGatewayCandidates = std::size_t(3);
 
 auto otherDataCentres(const topology_input &input, const std::vector<member> &live) -> std::set<std::string>
 {
     auto names = std::set<std::string>();
-    for (const auto &who : live) {
-        names.insert(who.dataCentre);
+    for (const auto &router : live) {
+        names.insert(router.dataCentre);
     }
-    for (const auto &row : input.routers.listed()) {
-        names.insert(row.dataCentre);
+    for (const auto &instance : input.routers.listed()) {
+        names.insert(instance.dataCentre);
     }
-    for (const auto &[name, addresses] : input.routers.hints()) {
+    for (const auto &[name, addresses] : input.routers.addressHints()) {
         names.insert(name);
     }
     names.erase(input.routers.self().dataCentre);
     return names;
 }
 
-auto addOwnDataCentre(const topology_input &input, const std::vector<member> &live, std::set<std::string> &wanted)
+auto addLocalMembers(const topology_input &input, const std::vector<member> &live, std::set<std::string> &wanted)
     -> void
 {
     const auto &own = input.routers.self().dataCentre;
-    for (const auto &who : live) {
-        if (who.dataCentre == own) {
-            wanted.insert(who.peerAddress);
+    for (const auto &router : live) {
+        if (router.dataCentre == own) {
+            wanted.insert(router.peerAddress);
         }
     }
-    for (const auto &row : input.routers.listed()) {
-        if (row.dataCentre == own) {
-            wanted.insert(row.address);
+    for (const auto &instance : input.routers.listed()) {
+        if (instance.dataCentre == own) {
+            wanted.insert(instance.address);
         }
     }
 }
@@ -47,23 +47,23 @@
                     std::set<std::string> &wanted) -> void
 {
     const auto &self = input.routers.self();
-    const auto order = dutyOrder(members, gatewayDuty(other, self.dataCentre));
+    const auto order = rankRoleCandidates(members, gatewayRole(other, self.dataCentre));
     auto tries = std::size_t(0);
-    for (const auto &who : order) {
-        wanted.insert(who.peerAddress);
-        if (who.direct || ++tries == mostGatewayTries) {
+    for (const auto &router : order) {
+        wanted.insert(router.peerAddress);
+        if (router.heardDirectly || ++tries == maxGatewayCandidates) {
             return;
         }
     }
     if (!order.empty()) {
         return;
     }
-    if (const auto hinted = input.routers.hints().find(other); hinted != input.routers.hints().end()) {
+    if (const auto hinted = input.routers.addressHints().find(other); hinted != input.routers.addressHints().end()) {
         wanted.insert(hinted->second.begin(), hinted->second.end());
     }
-    for (const auto &row : input.routers.listed()) {
-        if (row.dataCentre == other && tries++ < mostGatewayTries) {
-            wanted.insert(row.address);
+    for (const auto &instance : input.routers.listed()) {
+        if (instance.dataCentre == other && tries++ < maxGatewayCandidates) {
+            wanted.insert(instance.address);
         }
     }
 }
@@ -73,7 +73,7 @@
     const auto &self = input.routers.self();
     auto groups = groupByDataCentre(live);
     for (const auto &other : otherDataCentres(input, live)) {
-        if (dutyHolder(groups[self.dataCentre], gatewayDuty(self.dataCentre, other)) == self.incarnation) {
+        if (findRoleHolder(groups[self.dataCentre], gatewayRole(self.dataCentre, other)) == self.incarnation) {
             addCounterpart(input, groups[other], other, wanted);
         }
     }
@@ -84,7 +84,7 @@
 {
     for (const auto &seed : input.seeds) {
         const auto known =
-            std::any_of(live.begin(), live.end(), [&](const member &who) { return who.peerAddress == seed; });
+            std::any_of(live.begin(), live.end(), [&](const member &router) { return router.peerAddress == seed; });
         if (!known) {
             wanted.insert(seed);
         }
@@ -93,17 +93,17 @@
 
 } // namespace
 
-auto wantedAddresses(const topology_input &input, time_point now) -> std::set<std::string>
+auto requiredLinkAddresses(const topology_input &input, time_point now) -> std::set<std::string>
 {
     const auto live = input.routers.members(now);
     auto wanted = std::set<std::string>();
-    addOwnDataCentre(input, live, wanted);
+    addLocalMembers(input, live, wanted);
     addGateways(input, live, wanted);
     addUnknownSeeds(input, live, wanted);
-    for (const auto &[incarnation, when] : input.used) {
-        const auto *who = input.routers.find(incarnation);
-        if (who && now - when < input.idleTimeout) {
-            wanted.insert(who->peerAddress);
+    for (const auto &[incarnation, when] : input.lastMessageAt) {
+        const auto *router = input.routers.find(incarnation);
+        if (router && now - when < input.idleTimeout) {
+            wanted.insert(router->peerAddress);
         }
     }
     wanted.erase(input.routers.self().peerAddress);
--- a/src/peer/wire_codec.cpp
+++ b/src/peer/wire_codec.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr auto longestName = std::size_t(128);
-constexpr auto mostWaitingAccounts = 100'000;
-constexpr auto highestCost = 1e12; ///< Weighted tokens of one request.
-constexpr auto highestTotal = 1e18; ///< Weighted tokens of one account.
-constexpr auto longestWait = std::uint32_t(24 * 3'600 * 1'000); ///< Milliseconds.
+constexpr auto maxNameLength = std::size_t(128);
+constexpr auto maxWaitingAccounts = 100'000;
+constexpr auto maxRequestCost = 1e12; ///< Weighted tokens of one request.
+constexpr auto maxAccountTotal = 1e18; ///< Weighted tokens of one account.
+constexpr auto maxWaitMs = std::uint32_t(24 * 3'600 * 1'000);
 
-auto checkCost(double cost, double highest) -> bool
+auto isInRange(double cost, double highest) -> bool
 {
     return std::isfinite(cost) && cost >= 0 && cost <= highest;
 }
@@ -28,20 +28,20 @@
 
 auto toWireMilliseconds(duration value) -> std::uint32_t
 {
-    return static_cast<std::uint32_t>(std::min<std::uint64_t>(toMilliseconds(value), longestWait));
+    return static_cast<std::uint32_t>(std::min<std::uint64_t>(toMilliseconds(value), maxWaitMs));
 }
 
 auto fromWireMilliseconds(std::uint32_t value) -> duration
 {
-    return std::chrono::milliseconds(std::min(value, longestWait));
+    return std::chrono::milliseconds(std::min(value, maxWaitMs));
 }
 
 template<named_enum Enum>
 auto toEnum(std::uint32_t value) -> std::optional<Enum>
 {
     const auto candidate = static_cast<Enum>(value);
-    for (const auto &row : enum_names<Enum>::table) {
-        if (row.value == candidate) {
+    for (const auto &entry : enum_names<Enum>::table) {
+        if (entry.value == candidate) {
             return candidate;
         }
     }
@@ -65,7 +65,7 @@
     if (!id || !pool) {
         return std::nullopt;
     }
-    if (!checkCost(in.cost(), highestCost)) {
+    if (!isInRange(in.cost(), maxRequestCost)) {
         return invalid(step, peer, "cost out of range", why);
     }
     return request_use{ *id, *pool, in.cost() };
@@ -79,7 +79,7 @@
     return count > 0 ? static_cast<std::uint64_t>(count) : 0;
 }
 
-auto holdsMessages(const wire::Envelope &message) -> bool
+auto hasPayload(const wire::Envelope &message) -> bool
 {
     return message.tickets_size() != 0 || message.grants_size() != 0 || message.refusals_size() != 0
         || message.progress_size() != 0 || message.settlements_size() != 0 || message.withdrawals_size() != 0
@@ -89,9 +89,9 @@
         || message.wanted_digests_size() != 0;
 }
 
-auto encodeHeartbeat(const member &self, bool introduce, wire::Heartbeat &out) -> void
+auto encodeHeartbeat(const member &self, bool includeIdentity, wire::Heartbeat &out) -> void
 {
-    if (introduce) {
+    if (includeIdentity) {
         out.set_instance(self.instance);
         out.set_data_centre(self.dataCentre);
         out.set_region(self.region);
@@ -100,72 +100,72 @@
     out.set_configuration_sequence(self.configurationSequence);
     out.set_leaving(self.leaving);
     out.set_ready(self.ready);
-    out.set_beat(self.beat);
-}
-
-auto memberFrom(incarnation_id sender, const wire::Heartbeat &in) -> member
-{
-    auto who = member();
-    who.incarnation = sender;
-    who.instance = in.instance();
-    who.dataCentre = in.data_centre();
-    who.region = in.region();
-    who.peerAddress = in.peer_address();
-    who.configurationSequence = in.configuration_sequence();
-    who.beat = in.beat();
-    who.leaving = in.leaving();
-    who.ready = in.ready();
-    return who;
-}
-
-auto encodeMember(const member &who, wire::MemberDigest &out) -> void
-{
-    out.set_incarnation(who.incarnation);
-    out.set_instance(who.instance);
-    out.set_data_centre(who.dataCentre);
-    out.set_region(who.region);
-    out.set_peer_address(who.peerAddress);
-    out.set_configuration_sequence(who.configurationSequence);
-    out.set_beat(who.beat);
-    out.set_leaving(who.leaving);
-    out.set_ready(who.ready);
-}
-
-auto memberFrom(const wire::MemberDigest &in) -> member
-{
-    auto who = member();
-    who.incarnation = in.incarnation();
-    who.instance = in.instance();
-    who.dataCentre = in.data_centre();
-    who.region = in.region();
-    who.peerAddress = in.peer_address();
-    who.configurationSequence = in.configuration_sequence();
-    who.beat = in.beat();
-    who.leaving = in.leaving();
-    who.ready = in.ready();
-    return who;
-}
-
-auto encodeRoster(const roster &news, bool whole, wire::Roster &out) -> void
-{
-    out.set_data_centre(news.dataCentre);
-    out.set_source(news.source);
-    out.set_beat(news.beat);
-    out.set_version(news.version);
-    if (whole) {
-        for (const auto &who : news.members) {
-            encodeMember(who, *out.add_members());
+    out.set_beat(self.heartbeatCount);
+}
+
+auto decodeMember(incarnation_id sender, const wire::Heartbeat &in) -> member
+{
+    auto router = member();
+    router.incarnation = sender;
+    router.instance = in.instance();
+    router.dataCentre = in.data_centre();
+    router.region = in.region();
+    router.peerAddress = in.peer_address();
+    router.configurationSequence = in.configuration_sequence();
+    router.heartbeatCount = in.beat();
+    router.leaving = in.leaving();
+    router.ready = in.ready();
+    return router;
+}
+
+auto encodeMember(const member &router, wire::MemberDigest &out) -> void
+{
+    out.set_incarnation(router.incarnation);
+    out.set_instance(router.instance);
+    out.set_data_centre(router.dataCentre);
+    out.set_region(router.region);
+    out.set_peer_address(router.peerAddress);
+    out.set_configuration_sequence(router.configurationSequence);
+    out.set_beat(router.heartbeatCount);
+    out.set_leaving(router.leaving);
+    out.set_ready(router.ready);
+}
+
+auto decodeMember(const wire::MemberDigest &in) -> member
+{
+    auto router = member();
+    router.incarnation = in.incarnation();
+    router.instance = in.instance();
+    router.dataCentre = in.data_centre();
+    router.region = in.region();
+    router.peerAddress = in.peer_address();
+    router.configurationSequence = in.configuration_sequence();
+    router.heartbeatCount = in.beat();
+    router.leaving = in.leaving();
+    router.ready = in.ready();
+    return router;
+}
+
+auto encodeRoster(const roster &source, bool includeMembers, wire::Roster &out) -> void
+{
+    out.set_data_centre(source.dataCentre);
+    out.set_source(source.source);
+    out.set_beat(source.heartbeatCount);
+    out.set_version(source.version);
+    if (includeMembers) {
+        for (const auto &router : source.members) {
+            encodeMember(router, *out.add_members());
         }
     }
 }
 
-auto rosterFrom(const wire::Roster &in) -> roster
+auto decodeRoster(const wire::Roster &in) -> roster
 {
-    auto news = roster{ in.data_centre(), in.source(), in.beat(), in.version(), {} };
+    auto result = roster{ in.data_centre(), in.source(), in.beat(), in.version(), {} };
     for (const auto &digest : in.members()) {
-        news.members.push_back(memberFrom(digest));
+        result.members.push_back(decodeMember(digest));
     }
-    return news;
+    return result;
 }
 
 auto encode(ticket_id id, wire::TicketRef &out) -> void
@@ -190,18 +190,18 @@
 
 auto decodePool(const wire::Pool &in, const std::string &peer, last_reason &why) -> std::optional<pool_id>
 {
-    if (in.data_centre().empty() || in.data_centre().size() > longestName) {
+    if (in.data_centre().empty() || in.data_centre().size() > maxNameLength) {
         return invalid("decode pool", peer, "no data centre, or its name is too long", why);
     }
     return pool_id{ in.data_centre(), { in.service() } };
 }
 
-auto encode(const addressed_ticket &sent, time_point now, wire::Ticket &out) -> void
+auto encode(const addressed_ticket &addressed, time_point now, wire::Ticket &out) -> void
 {
-    const auto &waiting = sent.waiting;
+    const auto &waiting = addressed.waiting;
     encode(waiting.id, *out.mutable_id());
     encode(waiting.origin, *out.mutable_origin());
-    encode(sent.pool, *out.mutable_pool());
+    encode(addressed.pool, *out.mutable_pool());
     out.set_account(waiting.account.value);
     out.set_profile(waiting.profile.value);
     out.set_long_work(waiting.length == work_length::longWork);
@@ -225,7 +225,7 @@
     if (!id || !origin || !pool) {
         return std::nullopt;
     }
-    if (!checkCost(in.expected_cost(), highestCost)) {
+    if (!isInRange(in.expected_cost(), maxRequestCost)) {
         return invalid("decode ticket", peer, "expected cost out of range", why);
     }
     auto waiting = ticket();
@@ -246,14 +246,14 @@
     return addressed_ticket{ std::move(waiting), *pool };
 }
 
-auto encode(const grant &given, wire::Grant &out) -> void
+auto encode(const grant &granted, wire::Grant &out) -> void
 {
-    encode(given.ticket, *out.mutable_id());
-    encode(given.pool, *out.mutable_pool());
-    out.set_account(given.account.value);
-    out.set_server(given.server.value);
-    out.set_charged(static_cast<float>(given.charged));
-    out.set_reason(given.reason);
+    encode(granted.ticket, *out.mutable_id());
+    encode(granted.pool, *out.mutable_pool());
+    out.set_account(granted.account.value);
+    out.set_server(granted.server.value);
+    out.set_charged(static_cast<float>(granted.charged));
+    out.set_reason(granted.reason);
 }
 
 auto decodeGrant(const wire::Grant &in, const std::string &peer, last_reason &why) -> std::optional<grant>
@@ -266,17 +266,17 @@
     if (in.server() == 0) {
         return invalid("decode grant", peer, "no server", why);
     }
-    if (!checkCost(in.charged(), highestCost)) {
+    if (!isInRange(in.charged(), maxRequestCost)) {
         return invalid("decode grant", peer, "charge out of range", why);
     }
-    auto given = grant();
-    given.ticket = *id;
-    given.account = { in.account() };
-    given.server = { in.server() };
-    given.pool = *pool;
-    given.charged = in.charged();
-    given.reason = in.reason();
-    return given;
+    auto result = grant();
+    result.ticket = *id;
+    result.account = { in.account() };
+    result.server = { in.server() };
+    result.pool = *pool;
+    result.charged = in.charged();
+    result.reason = in.reason();
+    return result;
 }
 
 auto encode(const refusal &refused, wire::Refusal &out) -> void
@@ -326,10 +326,10 @@
     return decodeUse(in, "decode settlement", peer, why);
 }
 
-auto encode(const suspension &asked, wire::Suspension &out) -> void
+auto encode(const suspension &value, wire::Suspension &out) -> void
 {
-    encode(asked.ticket, *out.mutable_id());
-    out.set_server(asked.server.value);
+    encode(value.ticket, *out.mutable_id());
+    out.set_server(value.server.value);
 }
 
 auto decodeSuspension(const wire::Suspension &in, const std::string &peer, last_reason &why)
@@ -339,10 +339,10 @@
     if (!id) {
         return std::nullopt;
     }
-    auto asked = suspension();
-    asked.ticket = *id;
-    asked.server = { in.server() };
-    return asked;
+    auto result = suspension();
+    result.ticket = *id;
+    result.server = { in.server() };
+    return result;
 }
 
 auto encode(const pool_digest &digest, wire::PoolDigest &out) -> void
@@ -351,10 +351,10 @@
     out.set_serial(digest.serial);
     out.set_spare_slots(digest.spareSlots);
     for (const auto &waiting : digest.waiting) {
-        auto &row = *out.add_waiting();
-        row.set_account(waiting.account.value);
-        row.set_service(waiting.service);
-        row.set_tickets(waiting.tickets);
+        auto &entry = *out.add_waiting();
+        entry.set_account(waiting.account.value);
+        entry.set_service(waiting.service);
+        entry.set_tickets(waiting.tickets);
     }
 }
 
@@ -364,26 +364,26 @@
     if (!pool) {
         return std::nullopt;
     }
-    if (in.waiting_size() > mostWaitingAccounts) {
+    if (in.waiting_size() > maxWaitingAccounts) {
         return invalid("decode digest", peer, "too many accounts", why);
     }
     auto digest = pool_digest{ *pool, in.serial(), in.spare_slots(), {} };
-    for (const auto &row : in.waiting()) {
-        if (!std::isfinite(row.service()) || std::abs(row.service()) > highestTotal) {
+    for (const auto &entry : in.waiting()) {
+        if (!std::isfinite(entry.service()) || std::abs(entry.service()) > maxAccountTotal) {
             return invalid("decode digest", peer, "service out of range", why);
         }
-        digest.waiting.push_back({ { row.account() }, row.service(), row.tickets() });
+        digest.waiting.push_back({ { entry.account() }, entry.service(), entry.tickets() });
     }
     return digest;
 }
 
-auto encode(const pull_request &asked, wire::PullRequest &out) -> void
+auto encode(const pull_request &request, wire::PullRequest &out) -> void
 {
-    encode(asked.from, *out.mutable_from());
-    encode(asked.to, *out.mutable_to());
-    out.set_account(asked.account.value);
-    out.set_tickets(asked.tickets);
-    out.set_short_only(asked.shortOnly);
+    encode(request.from, *out.mutable_from());
+    encode(request.to, *out.mutable_to());
+    out.set_account(request.account.value);
+    out.set_tickets(request.tickets);
+    out.set_short_only(request.shortOnly);
 }
 
 auto decodePull(const wire::PullRequest &in, const std::string &peer, last_reason &why) -> std::optional<pull_request>
@@ -409,7 +409,7 @@
     if (in.router() == 0) {
         return invalid("decode total", peer, "no router", why);
     }
-    if (!checkCost(in.cost(), highestTotal)) {
+    if (!isInRange(in.cost(), maxAccountTotal)) {
         return invalid("decode total", peer, "cost out of range", why);
     }
     return service_total{ in.router(), { in.account() }, in.cost() };
@@ -442,8 +442,8 @@
 
 auto decodeSample(const wire::PaceSample &in, const std::string &peer, last_reason &why) -> std::optional<pace_sample>
 {
-    constexpr auto longestPace = 86'400.0; // Seconds.
-    if (!checkCost(in.first_token_seconds(), longestPace) || !checkCost(in.token_seconds(), longestPace)) {
+    constexpr auto maxPaceSeconds = 86'400.0;
+    if (!isInRange(in.first_token_seconds(), maxPaceSeconds) || !isInRange(in.token_seconds(), maxPaceSeconds)) {
         return invalid("decode pace sample", peer, "pace out of range", why);
     }
     return pace_sample{ { in.server() }, in.first_token_seconds(), in.token_seconds(), in.failed() };
@@ -467,7 +467,7 @@
     if (!id || !pool) {
         return std::nullopt;
     }
-    if (!checkCost(in.charged(), highestCost) || !checkCost(in.cost(), highestCost)) {
+    if (!isInRange(in.charged(), maxRequestCost) || !isInRange(in.cost(), maxRequestCost)) {
         return invalid("decode running request", peer, "cost out of range", why);
     }
     auto running = running_request();
--- a/src/router/dispatch_service.cpp
+++ b/src/router/dispatch_service.cpp
@@ -89,13 +89,13 @@
 
 auto dispatch_service::onMember(const member_event &event) -> void
 {
-    m_digests.onMember(event.who.incarnation);
+    m_digests.onMember(event.memberInfo.incarnation);
     if (!event.joined) {
-        m_ledger.retire(event.who.incarnation);
-        m_outbox.erase(event.who.incarnation);
-        m_totals.onLost(event.who.incarnation);
+        m_ledger.retire(event.memberInfo.incarnation);
+        m_outbox.erase(event.memberInfo.incarnation);
+        m_totals.onMemberLost(event.memberInfo.incarnation);
         for (const auto &[pool, holder] : m_held.all()) {
-            holder->removeRouter(event.who.incarnation, now());
+            holder->removeRouter(event.memberInfo.incarnation, now());
             schedulePass(pool);
         }
     }
@@ -117,7 +117,7 @@
     if (known != m_holders.end()) {
         return known->second;
     }
-    const auto holder = dutyHolder(m_network.members(), dispatcherDuty(pool));
+    const auto holder = findRoleHolder(m_network.members(), dispatcherRole(pool));
     m_holders[pool] = holder;
     return holder;
 }
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -241,7 +241,7 @@
 auto router_process::parts::refreshWatcherDuty() -> void
 {
     constexpr auto watchers = std::size_t(2);
-    const auto order = dutyOrder(links.members(), { duty_kind::watcher, config.dataCentre, "" });
+    const auto order = rankRoleCandidates(links.members(), { role_kind::watcher, config.dataCentre, "" });
     const auto end = order.begin() + static_cast<std::ptrdiff_t>(std::min(watchers, order.size()));
     compactor.setOnDuty(!order.empty() && order.front().incarnation == self.incarnation);
     watcher.setOnDuty(std::any_of(order.begin(), end,
--- a/src/router/server_watch.cpp
+++ b/src/router/server_watch.cpp
@@ -69,7 +69,7 @@
         const auto askedAt = system_clock_source().now();
         const auto snapshot = co_await m_platform.instances(why);
         if (snapshot) {
-            m_links.setListed(snapshot->instances);
+            m_links.setListedRouters(snapshot->instances);
             m_calendar.setInstances(snapshot->instances, unixMsNow());
             apply();
         }
@@ -108,9 +108,9 @@
 
 auto server_watch::onMember(const member_event &event) -> void
 {
-    const auto sameDataCentre = event.who.dataCentre == m_links.self().dataCentre;
-    if (event.joined && (sameDataCentre || event.who.direct)) {
-        tell(event.who.incarnation, m_calendar.notices(unixMsNow()));
+    const auto sameDataCentre = event.memberInfo.dataCentre == m_links.self().dataCentre;
+    if (event.joined && (sameDataCentre || event.memberInfo.heardDirectly)) {
+        tell(event.memberInfo.incarnation, m_calendar.notices(unixMsNow()));
     }
 }
 
--- a/src/router/status_report.cpp
+++ b/src/router/status_report.cpp
@@ -25,7 +25,7 @@
         { "sequence", who.configurationSequence },
         { "ready", who.ready },
         { "leaving", who.leaving },
-        { "heard_directly", who.direct },
+        { "heard_directly", who.heardDirectly },
         { "age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(who.age).count() },
     };
 }
--- a/tests/process/peer/peer_faults_test.cpp
+++ b/tests/process/peer/peer_faults_test.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Bound on waiting for processes; nothing passes or fails by a shorter time.
-constexpr auto patienceMs = 30'000;
+/// Limit for waiting on processes; no check depends on a shorter time.
+constexpr auto timeoutMs = 30'000;
 
 auto statusOf(const router_handle &router) -> boost::json::object
 {
@@ -23,25 +23,25 @@
     return !failure && parsed.is_object() ? parsed.get_object() : boost::json::object();
 }
 
-/// Live routers as \p router knows them, itself included.
-auto knownBy(const router_handle &router) -> std::size_t
+/// Number of live routers that \p router knows, including itself.
+auto countKnownRouters(const router_handle &router) -> std::size_t
 {
     const auto status = statusOf(router);
     const auto *instances = status.if_contains("instances");
     return instances ? instances->as_array().size() : 0;
 }
 
-auto allKnow(fleet &all, std::size_t count) -> bool
+auto allKnowRouters(fleet &all, std::size_t count) -> bool
 {
     for (const auto &router : all.routers()) {
-        if (router.process->running() && knownBy(router) != count) {
+        if (router.process->running() && countKnownRouters(router) != count) {
             return false;
         }
     }
     return true;
 }
 
-/// The router that dispatches the most pools of its data centre.
+/// Returns the router that dispatches the most pools of its data centre.
 auto busiestDispatcher(fleet &all) -> router_handle &
 {
     auto *busiest = &all.routers().front();
@@ -49,16 +49,16 @@
     for (auto &router : all.routers()) {
         const auto status = statusOf(router);
         const auto *pools = status.if_contains("pools_dispatched");
-        const auto held = pools ? pools->to_number<std::int64_t>() : 0;
-        if (held > most) {
-            most = held;
+        const auto poolCount = pools ? pools->to_number<std::int64_t>() : 0;
+        if (poolCount > most) {
+            most = poolCount;
             busiest = &router;
         }
     }
     return *busiest;
 }
 
-auto serves(fleet &all, const router_handle &router, const std::string &prompt) -> bool
+auto answersCorrectly(fleet &all, const router_handle &router, const std::string &prompt) -> bool
 {
     return answerText(all.chat(router, "alpha", prompt)) == expectedText(prompt);
 }
@@ -67,7 +67,7 @@
 
 BOOST_AUTO_TEST_SUITE(peer_faults_test)
 
-BOOST_AUTO_TEST_CASE(data_centres_that_are_cut_off_from_each_other_serve_on_and_rejoin)
+BOOST_AUTO_TEST_CASE(partitioned_data_centres_keep_serving_and_rejoin)
 {
     auto relays = peer_relays();
     auto plan = fleet_plan();
@@ -75,107 +75,108 @@
         return relays.addressFor(address);
     };
     auto all = fleet(plan);
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 2); }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 2); }));
     for (const auto &router : all.routers()) {
         relays.cut(router.peers);
     }
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 1); }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 1); }));
     for (const auto &router : all.routers()) {
-        BOOST_TEST(serves(all, router, "cut off at " + router.name + " tokens=10"));
+        BOOST_TEST(answersCorrectly(all, router, "cut off at " + router.name + " tokens=10"));
     }
     for (const auto &router : all.routers()) {
         relays.resume(router.peers);
     }
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 2); }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 2); }));
     for (const auto &router : all.routers()) {
-        BOOST_TEST(serves(all, router, "rejoined at " + router.name + " tokens=10"));
+        BOOST_TEST(answersCorrectly(all, router, "rejoined at " + router.name + " tokens=10"));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_dispatcher_that_is_killed_is_replaced)
+BOOST_AUTO_TEST_CASE(a_killed_dispatcher_is_replaced)
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
     plan.routersEach = 3;
     auto all = fleet(plan);
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 3); }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 3); }));
     auto &dispatcher = busiestDispatcher(all);
     dispatcher.process->signal(SIGKILL);
-    BOOST_TEST(dispatcher.process->waitForExit(patienceMs).has_value());
+    BOOST_TEST(dispatcher.process->waitForExit(timeoutMs).has_value());
     for (const auto &router : all.routers()) {
         if (router.name != dispatcher.name) {
-            BOOST_TEST(serves(all, router, "after the kill at " + router.name + " tokens=10"));
+            BOOST_TEST(answersCorrectly(all, router, "after the kill at " + router.name + " tokens=10"));
         }
     }
     all.restart(dispatcher);
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 3); }));
-    BOOST_TEST(serves(all, dispatcher, "after its restart tokens=10"));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 3); }));
+    BOOST_TEST(answersCorrectly(all, dispatcher, "after its restart tokens=10"));
 }
 
-BOOST_AUTO_TEST_CASE(a_dispatcher_that_is_paused_and_wakes_up_beside_its_successor_harms_nobody)
+BOOST_AUTO_TEST_CASE(a_paused_dispatcher_that_resumes_beside_its_successor_fails_no_request)
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
     plan.routersEach = 3;
     auto all = fleet(plan);
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 3); }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 3); }));
     auto &dispatcher = busiestDispatcher(all);
     dispatcher.process->signal(SIGSTOP);
     for (const auto &router : all.routers()) {
         if (router.name != dispatcher.name) {
-            BOOST_TEST(waitUntil(patienceMs, [&] { return knownBy(router) == 2; }));
-            BOOST_TEST(serves(all, router, "while it sleeps at " + router.name + " tokens=10"));
+            BOOST_TEST(waitUntil(timeoutMs, [&] { return countKnownRouters(router) == 2; }));
+            BOOST_TEST(answersCorrectly(all, router, "while it sleeps at " + router.name + " tokens=10"));
         }
     }
     dispatcher.process->signal(SIGCONT);
     for (auto round = 0; round < 5; ++round) {
         for (const auto &router : all.routers()) {
-            BOOST_TEST(serves(all, router, "awake " + std::to_string(round) + " at " + router.name + " tokens=10"));
+            BOOST_TEST(
+                answersCorrectly(all, router, "awake " + std::to_string(round) + " at " + router.name + " tokens=10"));
         }
     }
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 3); }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 3); }));
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_restarts_empty_while_the_platform_is_down_takes_all_from_its_peers)
+BOOST_AUTO_TEST_CASE(an_empty_restart_without_the_platform_fetches_the_configuration_from_peers)
 {
     auto all = fleet();
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 2); }));
-    auto &front = all.routers().front();
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 2); }));
+    auto &restarted = all.routers().front();
     const auto sequence = all.sequenceAt(all.routers().back());
     all.platform().setFaults(R"([{"kind":"outage"}])");
-    front.process->signal(SIGKILL);
-    BOOST_TEST(front.process->waitForExit(patienceMs).has_value());
-    all.restart(front, false);
-    BOOST_TEST(waitUntil(patienceMs, [&] { return all.sequenceAt(front) == sequence; }));
-    BOOST_TEST(waitUntil(patienceMs, [&] {
-        return httpCall(front.operators, { "GET", "/readyz", {}, "" }).status == 200;
+    restarted.process->signal(SIGKILL);
+    BOOST_TEST(restarted.process->waitForExit(timeoutMs).has_value());
+    all.restart(restarted, false);
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return all.sequenceAt(restarted) == sequence; }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] {
+        return httpCall(restarted.operators, { "GET", "/readyz", {}, "" }).status == 200;
     }));
-    BOOST_TEST(serves(all, front, "without the platform tokens=10"));
+    BOOST_TEST(answersCorrectly(all, restarted, "without the platform tokens=10"));
 }
 
-BOOST_AUTO_TEST_CASE(garbage_on_the_peer_port_harms_nobody)
+BOOST_AUTO_TEST_CASE(invalid_data_on_the_peer_port_fails_no_request)
 {
     auto all = fleet();
-    BOOST_TEST(waitUntil(patienceMs, [&] { return allKnow(all, 2); }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 2); }));
     auto context = boost::asio::io_context();
-    auto held = std::vector<boost::asio::ip::tcp::socket>();
+    auto sockets = std::vector<boost::asio::ip::tcp::socket>();
     for (const auto &router : all.routers()) {
         const auto port = static_cast<unsigned short>(std::stoi(router.peers.substr(router.peers.find(':') + 1)));
         for (const auto &bytes : { std::string("GET / HTTP/1.1\r\n\r\n"), std::string(1 << 16, '\xff'),
                                    std::string("\0SP\0\0\x50\0\0\0\0\0\0\0\0\0\x04noise", 21), std::string() }) {
-            held.emplace_back(context);
-            held.back().connect({ boost::asio::ip::address_v4::loopback(), port });
+            sockets.emplace_back(context);
+            sockets.back().connect({ boost::asio::ip::address_v4::loopback(), port });
             auto ignored = boost::system::error_code();
-            boost::asio::write(held.back(), boost::asio::buffer(bytes), ignored);
+            boost::asio::write(sockets.back(), boost::asio::buffer(bytes), ignored);
         }
     }
     for (const auto &router : all.routers()) {
-        BOOST_TEST(serves(all, router, "beside garbage at " + router.name + " tokens=10"));
-        BOOST_TEST(waitUntil(patienceMs, [&] {
+        BOOST_TEST(answersCorrectly(all, router, "beside garbage at " + router.name + " tokens=10"));
+        BOOST_TEST(waitUntil(timeoutMs, [&] {
             return all.metric(router, "marjoramloom_peer_dropped_envelopes_total{reason=\"malformed\"}") > 0;
         }));
     }
-    BOOST_TEST(allKnow(all, 2));
+    BOOST_TEST(allKnowRouters(all, 2));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/process/peer/peer_relays.h
+++ b/tests/process/peer/peer_relays.h
@@ -11,7 +11,7 @@
 
 namespace marjoramloom::test {
 
-/// TCP relays before the peer ports of a fleet's routers, on a thread of their own.
+/// TCP relays in front of the peer ports of a fleet's routers, run by a thread of their own.
 class peer_relays
 {
 public:
@@ -30,7 +30,7 @@
     peer_relays(const peer_relays &) = delete;
     auto operator=(const peer_relays &) -> peer_relays & = delete;
 
-    /// Runs \p action on the relays' thread and returns what it returned.
+    /// Runs \p action on the relays' thread and returns its result.
     template<typename Action>
     auto onThread(Action action)
     {
@@ -39,7 +39,7 @@
         return result.get_future().get();
     }
 
-    /// The address of the relay to \p target; made on first use.
+    /// Returns the address of the relay to \p target, which is created on first use.
     auto addressFor(const std::string &target) -> std::string
     {
         return onThread([this, target] {
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Connections open now go silent for good; new ones too, until resume().
+    /// Drops all data on open connections for good, and on new ones until resume().
     auto cut(const std::string &target) -> void
     {
         onThread([this, target] {
@@ -62,7 +62,7 @@
         });
     }
 
-    /// What comes back on connections open now is lost; new ones work.
+    /// Drops the data sent back on open connections; new ones work.
     auto cutAnswers(const std::string &target) -> void
     {
         onThread([this, target] {
@@ -71,7 +71,7 @@
         });
     }
 
-    /// Ends connections open now; new ones work.
+    /// Closes open connections; new ones work.
     auto reset(const std::string &target) -> void
     {
         onThread([this, target] {
@@ -80,7 +80,7 @@
         });
     }
 
-    /// New connections work again; old ones stay silent.
+    /// Lets new connections work again; old ones stay unresponsive.
     auto resume(const std::string &target) -> void
     {
         onThread([this, target] {
--- a/tests/unit/peer/configuration_relay_test.cpp
+++ b/tests/unit/peer/configuration_relay_test.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Text of a change that puts the account `name`.
-auto changeText(std::uint64_t sequence, const std::string &name) -> std::string
+/// Returns the text of a change that puts the client account \p name.
+auto makeChangeText(std::uint64_t sequence, const std::string &name) -> std::string
 {
     auto change = configuration_change();
     change.sequence = sequence;
@@ -22,10 +22,10 @@
     return changeToText(change);
 }
 
-/// A router with a store and its relay.
-struct configured_router
+/// A router with a configuration store and its relay.
+struct configuration_test_router
 {
-    configured_router(fake_network &network, const std::string &instance)
+    configuration_test_router(fake_network &network, const std::string &instance)
         : peer(network, instance)
         , store(network.counters)
         , relay(peer, store)
@@ -43,7 +43,7 @@
     auto commit(const std::string &account) -> void
     {
         const auto next = store.sequence() + 1;
-        store.offer(next, changeText(next, account), change_source::local);
+        store.offer(next, makeChangeText(next, account), change_source::local);
         applyPending();
     }
 
@@ -60,10 +60,10 @@
     std::vector<std::uint64_t> pending;
 };
 
-/// Nine routers in three data centres, each with a store.
-struct configured_fleet
+/// Nine routers in three data centres, each with a configuration store.
+struct configuration_test_fleet
 {
-    explicit configured_fleet(std::uint32_t seed)
+    explicit configuration_test_fleet(std::uint32_t seed)
         : network(seed)
     {
         for (const auto *dataCentre : { "a-1", "a-2", "b-1" }) {
@@ -74,10 +74,10 @@
         run(10s);
     }
 
-    auto add(const std::string &instance) -> configured_router &
+    auto add(const std::string &instance) -> configuration_test_router &
     {
         network.add(instance, instance.substr(0, 3), { "a-1x:1", "b-1x:1" });
-        routers[instance] = std::make_unique<configured_router>(network, instance);
+        routers[instance] = std::make_unique<configuration_test_router>(network, instance);
         return *routers[instance];
     }
 
@@ -100,24 +100,24 @@
     }
 
     fake_network network;
-    std::map<std::string, std::unique_ptr<configured_router>> routers;
+    std::map<std::string, std::unique_ptr<configuration_test_router>> routers;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(configuration_relay_test)
 
-BOOST_AUTO_TEST_CASE(a_change_is_in_force_everywhere_within_seconds)
+BOOST_AUTO_TEST_CASE(a_change_reaches_all_routers_within_a_second)
 {
-    auto fleet = configured_fleet(1);
+    auto fleet = configuration_test_fleet(1);
     fleet.routers["a-2y"]->commit("first");
     fleet.run(1s);
     BOOST_TEST(fleet.allAt(1));
 }
 
-BOOST_AUTO_TEST_CASE(lost_pushes_are_asked_for)
+BOOST_AUTO_TEST_CASE(changes_lost_by_the_network_are_requested_again)
 {
-    auto fleet = configured_fleet(5);
+    auto fleet = configuration_test_fleet(5);
     fleet.network.loss = 0.3;
     for (auto change = 0; change < 10; ++change) {
         fleet.routers["a-2y"]->commit("account" + std::to_string(change));
@@ -128,9 +128,9 @@
     BOOST_TEST(fleet.allAt(10));
 }
 
-BOOST_AUTO_TEST_CASE(a_data_centre_that_was_cut_off_catches_up_after_it_rejoins)
+BOOST_AUTO_TEST_CASE(a_partitioned_data_centre_catches_up_after_it_rejoins)
 {
-    auto fleet = configured_fleet(1);
+    auto fleet = configuration_test_fleet(1);
     fleet.network.partition({ "b-1x", "b-1y", "b-1z" });
     fleet.run(20s);
     fleet.routers["a-1x"]->commit("first");
@@ -142,9 +142,9 @@
     BOOST_TEST(fleet.allAt(1));
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_restarts_empty_takes_all_from_its_peers)
+BOOST_AUTO_TEST_CASE(an_empty_restart_fetches_the_configuration_from_peers)
 {
-    auto fleet = configured_fleet(1);
+    auto fleet = configuration_test_fleet(1);
     for (auto change = 0; change < 5; ++change) {
         fleet.routers["a-1x"]->commit("account" + std::to_string(change));
     }
--- a/tests/unit/peer/exchange_test.cpp
+++ b/tests/unit/peer/exchange_test.cpp
@@ -1,6 +1,6 @@
 #include "fake_peer.h"
 #include "marjoramloom/peer/digest_exchange.h"
-#include "marjoramloom/peer/duty.h"
+#include "marjoramloom/peer/role.h"
 #include "marjoramloom/peer/totals_exchange.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,13 +13,13 @@
 const auto model = object_id{ 7 };
 const auto account = object_id{ 1 };
 
-/// A router with a ledger and its exchanges.
-struct exchanging_router
+/// A router with a ledger, a totals exchange and a digest exchange.
+struct exchange_test_router
 {
-    exchanging_router(fake_network &network, const std::string &instance)
+    exchange_test_router(fake_network &network, const std::string &instance)
         : peer(network, instance)
         , totals(peer, ledger, {})
-        , digests(peer, {}, [this](const pool_digest &digest) { heard[digest.pool] = digest; })
+        , digests(peer, {}, [this](const pool_digest &digest) { receivedDigests[digest.pool] = digest; })
     {
         ledger.setWeights({ { account, 1.0 }, { object_id{ 2 }, 1.0 } });
         totals.setServices({ model });
@@ -28,9 +28,9 @@
             digests.receive(from, message, network.now());
         });
         peer.mesh().setMemberListener([this](const member_event &event) {
-            digests.onMember(event.who.incarnation);
+            digests.onMember(event.memberInfo.incarnation);
             if (!event.joined) {
-                totals.onLost(event.who.incarnation);
+                totals.onMemberLost(event.memberInfo.incarnation);
             }
         });
     }
@@ -44,12 +44,13 @@
     share_ledger ledger;
     totals_exchange<fake_peer> totals;
     digest_exchange<fake_peer> digests;
-    std::map<pool_id, pool_digest> heard;
+    std::map<pool_id, pool_digest> receivedDigests;
 };
 
-struct exchanging_fleet
+/// Nine routers in three data centres.
+struct exchange_test_fleet
 {
-    explicit exchanging_fleet(std::uint32_t seed)
+    explicit exchange_test_fleet(std::uint32_t seed)
         : network(seed)
     {
         for (const auto *dataCentre : { "a-1", "a-2", "b-1" }) {
@@ -60,10 +61,10 @@
         run(15s);
     }
 
-    auto add(const std::string &instance) -> exchanging_router &
+    auto add(const std::string &instance) -> exchange_test_router &
     {
         network.add(instance, instance.substr(0, 3), { "a-1x:1", "b-1x:1" });
-        routers[instance] = std::make_unique<exchanging_router>(network, instance);
+        routers[instance] = std::make_unique<exchange_test_router>(network, instance);
         return *routers[instance];
     }
 
@@ -84,13 +85,13 @@
         }
     }
 
-    auto holder(const duty_key &key) -> exchanging_router &
+    auto holder(const role_key &key) -> exchange_test_router &
     {
         auto live = std::vector<member>();
         for (auto &[instance, router] : routers) {
             live.push_back(router->peer.self());
         }
-        const auto holder = dutyHolder(live, key);
+        const auto holder = findRoleHolder(live, key);
         for (auto &[instance, router] : routers) {
             if (router->peer.self().incarnation == holder) {
                 return *router;
@@ -99,13 +100,13 @@
         throw std::logic_error("no holder");
     }
 
-    auto dispatcherOf(const std::string &dataCentre) -> exchanging_router &
+    auto dispatcherOf(const std::string &dataCentre) -> exchange_test_router &
     {
-        return holder(dispatcherDuty({ dataCentre, model }));
+        return holder(dispatcherRole({ dataCentre, model }));
     }
 
     fake_network network;
-    std::map<std::string, std::unique_ptr<exchanging_router>> routers;
+    std::map<std::string, std::unique_ptr<exchange_test_router>> routers;
 };
 
 } // namespace
@@ -114,7 +115,7 @@
 
 BOOST_AUTO_TEST_CASE(totals_reach_the_dispatchers_of_all_data_centres_exactly)
 {
-    auto fleet = exchanging_fleet(1);
+    auto fleet = exchange_test_fleet(1);
     auto served = 0.0;
     for (auto round = 0; round < 10; ++round) {
         for (auto &[instance, router] : fleet.routers) {
@@ -129,9 +130,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(service_given_during_a_partition_counts_after_it)
+BOOST_AUTO_TEST_CASE(service_during_a_partition_is_counted_after_it)
 {
-    auto fleet = exchanging_fleet(1);
+    auto fleet = exchange_test_fleet(1);
     fleet.routers["a-1x"]->serve(10);
     fleet.run(5s);
     fleet.network.partition({ "b-1x", "b-1y", "b-1z" });
@@ -147,10 +148,10 @@
     BOOST_TEST(fleet.dispatcherOf("b-1").ledger.receivedService(account) == 1'110);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_gateway_counts_nothing_twice_and_loses_at_most_what_it_did_not_see)
+BOOST_AUTO_TEST_CASE(a_gateway_change_counts_no_service_twice_and_loses_a_bounded_amount)
 {
-    auto fleet = exchanging_fleet(1);
-    const auto key = gatewayDuty("a-1", "b-1");
+    auto fleet = exchange_test_fleet(1);
+    const auto key = gatewayRole("a-1", "b-1");
     auto served = 0.0;
     auto servedWhileAway = 0.0;
     for (auto round = 0; round < 60; ++round) {
@@ -167,7 +168,7 @@
         fleet.run(500ms);
     }
     fleet.run(10s);
-    // Unseen at most: one far period of what the dead gateway knew, the time to notice, one look of its successor.
+    // Not counted at most: one period between regions, the time to detect the loss, and one tick of the successor.
     const auto known = fleet.dispatcherOf("b-1").ledger.receivedService(account);
     BOOST_TEST(known <= served);
     BOOST_TEST(known >= served - servedWhileAway);
@@ -175,30 +176,30 @@
 
 BOOST_AUTO_TEST_CASE(digests_reach_the_dispatchers_of_other_data_centres)
 {
-    auto fleet = exchanging_fleet(1);
+    auto fleet = exchange_test_fleet(1);
     auto digest = pool_digest{ { "a-1", model }, 1, 3, { { account, 100.0, 5 }, { { 2 }, 50.0, 1 } } };
     fleet.dispatcherOf("a-1").digests.publish(digest, fleet.network.now());
     fleet.run(3s);
     for (const auto *dataCentre : { "a-2", "b-1" }) {
-        const auto &heard = fleet.dispatcherOf(dataCentre).heard[digest.pool];
-        BOOST_TEST(heard.spareSlots == 3U);
-        BOOST_TEST(heard.waiting.size() == 2U);
+        const auto &received = fleet.dispatcherOf(dataCentre).receivedDigests[digest.pool];
+        BOOST_TEST(received.spareSlots == 3U);
+        BOOST_TEST(received.waiting.size() == 2U);
     }
     digest.spareSlots = 0;
     digest.waiting = { { account, 900.0, 50 } };
     fleet.dispatcherOf("a-1").digests.publish(digest, fleet.network.now());
     fleet.run(3s);
     for (const auto *dataCentre : { "a-2", "b-1" }) {
-        const auto &heard = fleet.dispatcherOf(dataCentre).heard[digest.pool];
-        BOOST_REQUIRE(heard.waiting.size() == 1U);
-        BOOST_TEST(heard.waiting.front().tickets == 50U);
-        BOOST_TEST(heard.waiting.front().service == 900.0);
+        const auto &received = fleet.dispatcherOf(dataCentre).receivedDigests[digest.pool];
+        BOOST_REQUIRE(received.waiting.size() == 1U);
+        BOOST_TEST(received.waiting.front().tickets == 50U);
+        BOOST_TEST(received.waiting.front().service == 900.0);
     }
 }
 
-BOOST_AUTO_TEST_CASE(digests_are_whole_again_after_a_partition)
+BOOST_AUTO_TEST_CASE(digests_are_complete_again_after_a_partition)
 {
-    auto fleet = exchanging_fleet(1);
+    auto fleet = exchange_test_fleet(1);
     auto digest = pool_digest{ { "a-1", model }, 1, 3, { { account, 100.0, 5 } } };
     fleet.dispatcherOf("a-1").digests.publish(digest, fleet.network.now());
     fleet.run(3s);
@@ -208,13 +209,13 @@
         fleet.dispatcherOf("a-1").digests.publish(digest, fleet.network.now());
         fleet.run(1s);
     }
-    BOOST_TEST(fleet.dispatcherOf("b-1").heard[digest.pool].waiting.size() == 1U);
+    BOOST_TEST(fleet.dispatcherOf("b-1").receivedDigests[digest.pool].waiting.size() == 1U);
     fleet.network.heal();
     for (auto second = 0; second < 15; ++second) {
         fleet.dispatcherOf("a-1").digests.publish(digest, fleet.network.now());
         fleet.run(1s);
     }
-    BOOST_TEST(fleet.dispatcherOf("b-1").heard[digest.pool].waiting.size() == 2U);
+    BOOST_TEST(fleet.dispatcherOf("b-1").receivedDigests[digest.pool].waiting.size() == 2U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/peer/fake_network.h
+++ b/tests/unit/peer/fake_network.h
@@ -16,7 +16,7 @@
 
 class fake_network;
 
-/// One router's end of the fake network.
+/// Transport of one router on the fake network.
 class fake_transport
 {
 public:
@@ -49,13 +49,13 @@
     std::unique_ptr<fake_transport> transport;
     std::unique_ptr<peer_mesh<fake_transport>> mesh;
     bool paused = false;
-    std::vector<std::uint64_t> received; ///< Serials of withdrawals, the payload that tests use.
+    std::vector<std::uint64_t> received; ///< Serials of withdrawals, which tests use as payload.
     std::vector<member_event> events;
     std::map<incarnation_id, int> joins;
 };
 
-/// Routers on a manual clock, joined by links with seeded loss, delay and reordering, which can be cut one way, frozen
-/// (old connections are silent, new ones work) or paused with their router.
+/// Simulates a network of routers on a manual clock. Links have seeded loss, delay and reordering. They can be cut in
+/// one direction or frozen (old connections drop all data, new ones work), and a router can be paused.
 class fake_network
 {
 public:
@@ -75,14 +75,14 @@
         self.dataCentre = dataCentre;
         self.region = dataCentre.substr(0, dataCentre.find('-'));
         self.peerAddress = instance + ":1";
-        self.incarnation = incarnation != 0 ? incarnation : ++m_incarnations;
+        self.incarnation = incarnation != 0 ? incarnation : ++m_lastIncarnation;
         self.ready = true;
         auto &router = m_routers[instance];
         router = fake_router();
         router.transport = std::make_unique<fake_transport>(*this, self.peerAddress);
         router.mesh = std::make_unique<peer_mesh<fake_transport>>(self, m_limits, *router.transport, counters, now());
         router.mesh->setSeeds(std::move(seeds));
-        router.mesh->routers().setListed(listed);
+        router.mesh->routers().setListedRouters(listed);
         router.mesh->setReceiver([&router](incarnation_id, const wire::Envelope &message) {
             for (const auto &withdrawal : message.withdrawals()) {
                 router.received.push_back(withdrawal.serial());
@@ -112,7 +112,7 @@
         return m_clock.now();
     }
 
-    /// Messages from \p from to \p to vanish.
+    /// Drops messages from \p from to \p to.
     auto cut(const std::string &from, const std::string &to) -> void
     {
         m_cuts.insert({ from + ":1", to + ":1" });
@@ -123,13 +123,13 @@
         m_cuts.clear();
     }
 
-    /// Connections opened so far from \p from to \p to are silent for good; new ones work.
+    /// Drops all data on the connections opened so far from \p from to \p to; new ones work.
     auto freeze(const std::string &from, const std::string &to) -> void
     {
-        m_frozen[{ from + ":1", to + ":1" }] = m_links;
+        m_frozen[{ from + ":1", to + ":1" }] = m_lastLink;
     }
 
-    /// Cuts both ways between the routers of \p left and everyone else.
+    /// Cuts the links in both directions between the routers of \p left and all others.
     auto partition(const std::set<std::string> &left) -> void
     {
         for (const auto &[one, first] : m_routers) {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Sends the withdrawal \p serial as a payload.
+    /// Sends a withdrawal with serial \p serial as payload.
     auto send(const std::string &from, const std::string &to, std::uint64_t serial) -> bool
     {
         auto message = std::make_unique<wire::Envelope>();
@@ -164,19 +164,20 @@
         return at(from).mesh->send(incarnationOf(to), std::move(message), now());
     }
 
-    /// Whether everyone in \p instances knows exactly these.
-    [[nodiscard]] auto agree(const std::set<std::string> &instances) -> bool
+    /// Whether each router of \p instances knows exactly these routers.
+    [[nodiscard]] auto haveSameView(const std::set<std::string> &instances) -> bool
     {
         return std::all_of(instances.begin(), instances.end(), [&](const std::string &instance) {
             auto known = std::set<std::string>();
-            for (const auto &who : at(instance).mesh->routers().members(now())) {
-                known.insert(who.instance);
+            for (const auto &peer : at(instance).mesh->routers().members(now())) {
+                known.insert(peer.instance);
             }
             return known == instances;
         });
     }
 
-    /// Steps until \p condition holds, at most \p limit; the time it took, or nothing.
+    /// Advances the clock until \p condition holds or \p limit has elapsed. Returns the time it took, or nothing if the
+    /// condition does not hold.
     template<typename Condition>
     auto runUntil(duration limit, Condition condition) -> std::optional<duration>
     {
@@ -191,17 +192,18 @@
     }
 
     counter_registry counters;
-    duration period = step; ///< Between two looks at the clock.
-    std::vector<listed_instance> listed; ///< For routers added from now on.
+    duration period = step; ///< Time between two ticks.
+    std::vector<listed_instance> listed; ///< Instance list of routers added from now on.
     double loss = 0;
     duration delay = std::chrono::milliseconds(1);
-    duration jitter{}; ///< Added at random; messages of different connections overtake each other.
-    std::map<std::string, std::uint64_t> bytes; ///< Written, by sender's address.
-    std::map<std::string, std::uint64_t> envelopes; ///< Likewise.
+    duration jitter{}; ///< Maximum random extra delay. It can reorder messages of different connections.
+    std::map<std::string, std::uint64_t> bytes; ///< Bytes written, by the sender's address.
+    std::map<std::string, std::uint64_t> envelopes; ///< Envelopes written, by the sender's address.
 
 private:
     friend class fake_transport;
 
+    /// A message in transit.
     struct packet
     {
         std::string to;
@@ -210,7 +212,7 @@
 
     auto openLink() -> link_number
     {
-        return ++m_links;
+        return ++m_lastLink;
     }
 
     auto write(const std::string &from, const std::string &to, link_number link, std::string data) -> void
@@ -225,28 +227,29 @@
         }
         const auto extra = fromSeconds(toSeconds(jitter) * chance(m_random));
         auto &last = m_lastArrival[link];
-        last = std::max(last, now() + delay + extra); // A connection keeps its order; two of them don't.
+        // Messages of one connection stay in order; those of different connections may not.
+        last = std::max(last, now() + delay + extra);
         m_packets.emplace(last, packet{ to, std::move(data) });
     }
 
     auto deliver() -> void
     {
-        auto held = std::vector<packet>();
+        auto undelivered = std::vector<packet>();
         while (!m_packets.empty() && m_packets.begin()->first <= now()) {
-            auto due = std::move(m_packets.begin()->second);
+            auto next = std::move(m_packets.begin()->second);
             m_packets.erase(m_packets.begin());
-            const auto router = m_routers.find(due.to.substr(0, due.to.find(':')));
+            const auto router = m_routers.find(next.to.substr(0, next.to.find(':')));
             if (router == m_routers.end()) {
                 continue;
             }
             if (router->second.paused) {
-                held.push_back(std::move(due)); // The kernel keeps it for the paused process.
+                undelivered.push_back(std::move(next)); // The kernel would buffer it for the paused process.
                 continue;
             }
-            router->second.mesh->receive(due.bytes, now());
+            router->second.mesh->receive(next.bytes, now());
         }
-        for (auto &kept : held) {
-            m_packets.emplace(now(), std::move(kept));
+        for (auto &entry : undelivered) {
+            m_packets.emplace(now(), std::move(entry));
         }
     }
 
@@ -258,8 +261,8 @@
     std::set<std::pair<std::string, std::string>> m_cuts;
     std::map<std::pair<std::string, std::string>, link_number> m_frozen;
     std::map<link_number, time_point> m_lastArrival;
-    link_number m_links = 0;
-    incarnation_id m_incarnations = 1'000;
+    link_number m_lastLink = 0;
+    incarnation_id m_lastIncarnation = 1'000;
 };
 
 inline auto fake_transport::open(const std::string &address) -> link_number
--- a/tests/unit/peer/fake_peer.h
+++ b/tests/unit/peer/fake_peer.h
@@ -5,7 +5,7 @@
 
 namespace marjoramloom {
 
-/// A router's view of the fake network as a peer_network.
+/// Provides one router of the fake network as a peer_network.
 class fake_peer
 {
 public:
--- a/tests/unit/peer/peer_links_test.cpp
+++ b/tests/unit/peer/peer_links_test.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-/// Bound on waiting for real sockets; no test passes or fails by a shorter time.
-constexpr auto patience = std::chrono::seconds(20);
+/// Limit for waiting on real sockets; no check depends on a shorter time.
+constexpr auto maxWait = std::chrono::seconds(20);
 
-/// Two routers of one data centre on loopback, driven by one thread.
+/// Two routers of one data centre on loopback, run by one thread.
 struct two_routers
 {
-    /// With \p relayed, the second is reached through a relay only.
+    /// With \p relayed, the second router is reached only through a relay.
     explicit two_routers(bool relayed = false)
         : relay(relayed ? std::make_unique<tcp_relay>(context) : nullptr)
-        , first(context.get_executor(), named("r1", 1, ""), {}, counters)
-        , second(context.get_executor(), named("r2", 2, relayed ? relay->address() : ""), {}, counters)
+        , first(context.get_executor(), makeMember("r1", 1, ""), {}, counters)
+        , second(context.get_executor(), makeMember("r2", 2, relayed ? relay->address() : ""), {}, counters)
     {
         for (auto *links : { &first, &second }) {
             links->setReady(true);
@@ -32,7 +32,8 @@
         });
     }
 
-    static auto named(const std::string &instance, incarnation_id incarnation, const std::string &address) -> member
+    static auto makeMember(const std::string &instance, incarnation_id incarnation, const std::string &address)
+        -> member
     {
         auto self = member();
         self.instance = instance;
@@ -43,7 +44,7 @@
         return self;
     }
 
-    /// Starts both; the second knows the first as a seed.
+    /// Starts both routers; the second has the first as a seed.
     auto start() -> void
     {
         auto why = last_reason();
@@ -55,7 +56,7 @@
     template<typename Condition>
     auto runUntil(Condition condition) -> bool
     {
-        const auto end = std::chrono::steady_clock::now() + patience;
+        const auto end = std::chrono::steady_clock::now() + maxWait;
         while (!condition() && std::chrono::steady_clock::now() < end) {
             context.run_one_for(50ms);
             context.restart();
@@ -63,7 +64,7 @@
         return condition();
     }
 
-    auto know() -> bool
+    auto knowEachOther() -> bool
     {
         return first.members().size() == 2 && second.members().size() == 2;
     }
@@ -94,7 +95,7 @@
     return socket;
 }
 
-/// Reads what the other side said, if anything, until it closed.
+/// Discards received data. Returns whether the other side closed the connection.
 auto isClosed(boost::asio::ip::tcp::socket &socket) -> bool
 {
     auto buffer = std::array<char, 64>();
@@ -110,11 +111,11 @@
 
 BOOST_AUTO_TEST_SUITE(peer_links_test)
 
-BOOST_AUTO_TEST_CASE(two_routers_meet_and_messages_arrive_in_order)
+BOOST_AUTO_TEST_CASE(two_routers_connect_and_messages_arrive_in_order)
 {
     auto routers = two_routers();
     routers.start();
-    BOOST_TEST(routers.runUntil([&] { return routers.know(); }));
+    BOOST_TEST(routers.runUntil([&] { return routers.knowEachOther(); }));
     auto expected = std::vector<std::uint64_t>();
     for (auto serial = std::uint64_t(1); serial <= 1'000; ++serial) {
         BOOST_TEST(routers.send(serial));
@@ -124,13 +125,13 @@
     BOOST_TEST(routers.received == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_that_went_silent_is_dialled_again_and_loses_nothing)
+BOOST_AUTO_TEST_CASE(an_unresponsive_connection_reconnects_without_losing_messages)
 {
     auto routers = two_routers(true);
     auto &relay = *routers.relay;
     routers.start();
     relay.setTarget(routers.second.listenAddress());
-    BOOST_TEST(routers.runUntil([&] { return routers.know(); }));
+    BOOST_TEST(routers.runUntil([&] { return routers.knowEachOther(); }));
     BOOST_TEST(routers.send(1));
     BOOST_TEST(routers.runUntil([&] { return routers.received.size() == 1; }));
     relay.freezeConnections();
@@ -139,27 +140,28 @@
     BOOST_TEST(routers.runUntil([&] { return routers.received.size() == 2; }));
     BOOST_TEST(relay.accepted() > before);
     BOOST_TEST(routers.received.back() == 2U);
-    BOOST_TEST(routers.runUntil([&] { return routers.know(); }));
+    BOOST_TEST(routers.runUntil([&] { return routers.knowEachOther(); }));
 }
 
-BOOST_AUTO_TEST_CASE(garbage_on_the_peer_port_is_counted_and_harms_nobody)
+BOOST_AUTO_TEST_CASE(invalid_data_on_the_peer_port_is_counted_and_ignored)
 {
     auto routers = two_routers();
     routers.start();
-    BOOST_TEST(routers.runUntil([&] { return routers.know(); }));
+    BOOST_TEST(routers.runUntil([&] { return routers.knowEachOther(); }));
     const auto port = routers.second.self().peerAddress;
-    // nng forgets some failed handshakes that come while it hands over another one; so this asks for one of several.
-    auto strangers = std::vector<std::shared_ptr<boost::asio::ip::tcp::socket>>();
+    // nng does not count some failed handshakes that arrive while it accepts another connection, so only one of several
+    // must be counted.
+    auto invalidConnections = std::vector<std::shared_ptr<boost::asio::ip::tcp::socket>>();
     const auto isCounted = [&] {
-        strangers.push_back(writeRaw(routers.context, port, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"));
+        invalidConnections.push_back(writeRaw(routers.context, port, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"));
         return routers.second.rejectedConnections() > 0;
     };
     BOOST_TEST(routers.runUntil(isCounted));
-    BOOST_TEST(routers.runUntil([&] { return isClosed(*strangers.front()); }));
-    // The handshake of a push socket, then a message of one gigabyte.
+    BOOST_TEST(routers.runUntil([&] { return isClosed(*invalidConnections.front()); }));
+    // The handshake of a push socket, then the header of a message of one gigabyte.
     const auto huge = writeRaw(routers.context, port,
                                std::string("\0SP\0\0\x50\0\0", 8) + std::string("\0\0\0\0\x40\0\0\0", 8) + "x");
-    // The handshake, then a short message that is no envelope.
+    // The handshake, then a short message that is not an envelope.
     const auto noise =
         writeRaw(routers.context, port,
                  std::string("\0SP\0\0\x50\0\0", 8) + std::string("\0\0\0\0\0\0\0\x04", 8) + "\xff\xff\xff\xff");
@@ -168,7 +170,7 @@
     BOOST_TEST(routers.runUntil([&] { return isClosed(*huge); }));
     BOOST_TEST(routers.send(1));
     BOOST_TEST(routers.runUntil([&] { return !routers.received.empty(); }));
-    BOOST_TEST(routers.know());
+    BOOST_TEST(routers.knowEachOther());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/peer/peer_mesh_test.cpp
+++ b/tests/unit/peer/peer_mesh_test.cpp
@@ -1,6 +1,6 @@
 #include "fake_network.h"
 
-#include "marjoramloom/peer/duty.h"
+#include "marjoramloom/peer/role.h"
 
 #include <boost/test/unit_test.hpp>
 #include <numeric>
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Three routers in one data centre that know each other.
-auto startThree(fake_network &network) -> std::set<std::string>
+/// Starts three routers in one data centre.
+auto startThreeRouters(fake_network &network) -> std::set<std::string>
 {
     network.add("r1", "a-1", {});
     network.add("r2", "a-1", { "r1:1" });
@@ -19,8 +19,8 @@
     return { "r1", "r2", "r3" };
 }
 
-/// Three data centres in two regions, three routers each; every one knows one seed.
-auto startNine(fake_network &network) -> std::set<std::string>
+/// Starts three routers in each of three data centres in two regions; each has one seed.
+auto startNineRouters(fake_network &network) -> std::set<std::string>
 {
     auto all = std::set<std::string>();
     for (const auto *dataCentre : { "a-1", "a-2", "b-1" }) {
@@ -33,19 +33,20 @@
     return all;
 }
 
-auto numbers(std::uint64_t count) -> std::vector<std::uint64_t>
+auto serialsUpTo(std::uint64_t count) -> std::vector<std::uint64_t>
 {
     auto values = std::vector<std::uint64_t>(count);
     std::iota(values.begin(), values.end(), 1);
     return values;
 }
 
-/// Silence until a member counts as gone, plus the beat in which the others look.
-const auto lossBound = membership_settings().timeout + peer_mesh_settings().heartbeat;
-/// Longest pause between two dials, then a heartbeat each way.
-const auto rejoinBound = peer_session_settings().redialLimit + 2 * peer_mesh_settings().heartbeat;
-/// The same between data centres, where a roster is asked for and told on: three more heartbeats at their pace.
-const auto remoteRejoinBound = rejoinBound + 5 * peer_mesh_settings().farHeartbeat;
+/// Timeout of a member, plus one heartbeat period until the other members check it.
+const auto maxLossTime = membership_settings().timeout + peer_mesh_settings().heartbeat;
+/// Longest time between two reconnects, plus a heartbeat in each direction.
+const auto maxRejoinTime = peer_session_settings().maxReconnectDelay + 2 * peer_mesh_settings().heartbeat;
+/// Limit between data centres, where a roster is also requested and forwarded: three more heartbeats at the slower
+/// period.
+const auto maxRemoteRejoinTime = maxRejoinTime + 5 * peer_mesh_settings().crossRegionHeartbeat;
 
 auto without(std::set<std::string> all, const std::set<std::string> &gone) -> std::set<std::string>
 {
@@ -53,19 +54,20 @@
     return all;
 }
 
-auto startAndSettle(fake_network &network) -> std::set<std::string>
+auto startThreeAndConnect(fake_network &network) -> std::set<std::string>
 {
-    const auto all = startThree(network);
-    BOOST_REQUIRE(network.runUntil(3s, [&] { return network.agree(all); }));
+    const auto all = startThreeRouters(network);
+    BOOST_REQUIRE(network.runUntil(3s, [&] { return network.haveSameView(all); }));
     return all;
 }
 
-auto holdersOf(fake_network &network, const std::set<std::string> &all, const duty_key &key) -> std::set<std::string>
+auto findRoleHolders(fake_network &network, const std::set<std::string> &all, const role_key &key)
+    -> std::set<std::string>
 {
     auto holders = std::set<std::string>();
     for (const auto &instance : all) {
         const auto &routers = network.at(instance).mesh->routers();
-        if (dutyHolder(routers.members(network.now()), key) == routers.self().incarnation) {
+        if (findRoleHolder(routers.members(network.now()), key) == routers.self().incarnation) {
             holders.insert(instance);
         }
     }
@@ -76,25 +78,25 @@
 
 BOOST_AUTO_TEST_SUITE(peer_mesh_test)
 
-BOOST_AUTO_TEST_CASE(routers_of_a_data_centre_find_each_other_through_one_seed)
+BOOST_AUTO_TEST_CASE(routers_of_a_data_centre_discover_each_other_through_one_seed)
 {
     auto network = fake_network(1);
-    const auto all = startThree(network);
-    BOOST_TEST(network.runUntil(3s, [&] { return network.agree(all); }).has_value());
+    const auto all = startThreeRouters(network);
+    BOOST_TEST(network.runUntil(3s, [&] { return network.haveSameView(all); }).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(data_centres_find_each_other)
+BOOST_AUTO_TEST_CASE(data_centres_discover_each_other)
 {
     auto network = fake_network(1);
-    const auto all = startNine(network);
-    BOOST_TEST(network.runUntil(20s, [&] { return network.agree(all); }).has_value());
+    const auto all = startNineRouters(network);
+    BOOST_TEST(network.runUntil(20s, [&] { return network.haveSameView(all); }).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(messages_arrive_once_and_in_order_despite_loss_and_reordering)
 {
     auto network = fake_network(7);
-    const auto all = startThree(network);
-    network.runUntil(3s, [&] { return network.agree(all); });
+    const auto all = startThreeRouters(network);
+    network.runUntil(3s, [&] { return network.haveSameView(all); });
     network.loss = 0.2;
     network.jitter = 30ms;
     for (auto serial = std::uint64_t(1); serial <= 200; ++serial) {
@@ -103,99 +105,103 @@
     }
     network.loss = 0;
     network.run(5s);
-    BOOST_TEST(network.at("r2").received == numbers(200), boost::test_tools::per_element());
+    BOOST_TEST(network.at("r2").received == serialsUpTo(200), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_that_went_silent_is_dialled_again_and_loses_nothing)
+BOOST_AUTO_TEST_CASE(an_unresponsive_connection_reconnects_without_losing_messages)
 {
     auto network = fake_network(1);
-    const auto all = startThree(network);
-    network.runUntil(3s, [&] { return network.agree(all); });
+    const auto all = startThreeRouters(network);
+    network.runUntil(3s, [&] { return network.haveSameView(all); });
     network.freeze("r1", "r2");
     BOOST_TEST(network.send("r1", "r2", 1));
     network.run(4s);
-    BOOST_TEST(network.at("r2").received == numbers(1), boost::test_tools::per_element());
-    BOOST_TEST(network.agree(all));
+    BOOST_TEST(network.at("r2").received == serialsUpTo(1), boost::test_tools::per_element());
+    BOOST_TEST(network.haveSameView(all));
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_router_is_given_up_in_time_although_messages_are_slow)
+BOOST_AUTO_TEST_CASE(a_dead_router_is_detected_in_time_despite_delayed_messages)
 {
     auto network = fake_network(1);
-    const auto all = startAndSettle(network);
-    network.delay = 400ms; // Nearly a heartbeat: repeated ages would keep it alive for ever.
+    const auto all = startThreeAndConnect(network);
+    network.delay = 400ms; // Nearly a heartbeat period. If members relayed the age instead of a counter, the router
+                           // would never expire.
     network.run(5s);
-    BOOST_TEST(network.agree(all));
+    BOOST_TEST(network.haveSameView(all));
     network.remove("r2");
     const auto rest = without(all, { "r2" });
-    BOOST_TEST(network.runUntil(lossBound + 2 * network.delay, [&] { return network.agree(rest); }).has_value());
+    BOOST_TEST(
+        network.runUntil(maxLossTime + 2 * network.delay, [&] { return network.haveSameView(rest); }).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_one_cannot_hear_is_alive_through_another)
+BOOST_AUTO_TEST_CASE(a_router_unreachable_in_one_direction_stays_alive_through_another)
 {
     auto network = fake_network(1);
-    const auto all = startAndSettle(network);
+    const auto all = startThreeAndConnect(network);
     network.cut("r1", "r2");
     for (auto second = 0; second < 20; ++second) {
         network.run(1s);
-        BOOST_TEST(network.agree(all));
+        BOOST_TEST(network.haveSameView(all));
     }
     const auto &routers = network.at("r2").mesh->routers();
-    BOOST_TEST(!routers.isDirect(network.incarnationOf("r1"), network.now()));
+    BOOST_TEST(!routers.isHeardDirectly(network.incarnationOf("r1"), network.now()));
 }
 
-BOOST_AUTO_TEST_CASE(a_data_centre_that_was_split_agrees_again)
+BOOST_AUTO_TEST_CASE(a_partitioned_data_centre_converges_after_it_heals)
 {
     auto network = fake_network(1);
-    const auto all = startAndSettle(network);
+    const auto all = startThreeAndConnect(network);
     network.partition({ "r1" });
     const auto rest = without(all, { "r1" });
-    BOOST_TEST(network.runUntil(lossBound, [&] { return network.agree(rest) && network.agree({ "r1" }); }).has_value());
+    BOOST_TEST(
+        network.runUntil(maxLossTime, [&] { return network.haveSameView(rest) && network.haveSameView({ "r1" }); })
+            .has_value());
     network.run(60s);
     network.heal();
-    BOOST_TEST(network.runUntil(rejoinBound, [&] { return network.agree(all); }).has_value());
+    BOOST_TEST(network.runUntil(maxRejoinTime, [&] { return network.haveSameView(all); }).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_duty_is_held_on_both_sides_of_a_split_and_once_after_it)
+BOOST_AUTO_TEST_CASE(a_role_has_a_holder_on_each_side_of_a_partition_and_one_after_it)
 {
     auto network = fake_network(1);
-    const auto all = startAndSettle(network);
-    const auto key = dispatcherDuty({ "a-1", { 7 } });
-    const auto before = holdersOf(network, all, key);
+    const auto all = startThreeAndConnect(network);
+    const auto key = dispatcherRole({ "a-1", { 7 } });
+    const auto before = findRoleHolders(network, all, key);
     BOOST_TEST(before.size() == 1U);
     network.partition({ *before.begin() });
-    network.run(lossBound);
-    BOOST_TEST(holdersOf(network, all, key).size() == 2U);
+    network.run(maxLossTime);
+    BOOST_TEST(findRoleHolders(network, all, key).size() == 2U);
     network.heal();
-    network.run(rejoinBound);
-    BOOST_TEST(holdersOf(network, all, key) == before, boost::test_tools::per_element());
+    network.run(maxRejoinTime);
+    BOOST_TEST(findRoleHolders(network, all, key) == before, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_paused_router_is_given_up_and_back_soon_after_it_wakes_up)
+BOOST_AUTO_TEST_CASE(a_paused_router_is_lost_and_rejoins_after_it_resumes)
 {
     auto network = fake_network(1);
-    const auto all = startAndSettle(network);
+    const auto all = startThreeAndConnect(network);
     network.at("r3").paused = true;
     const auto rest = without(all, { "r3" });
-    BOOST_TEST(network.runUntil(lossBound, [&] { return network.agree(rest); }).has_value());
+    BOOST_TEST(network.runUntil(maxLossTime, [&] { return network.haveSameView(rest); }).has_value());
     network.run(60s);
-    BOOST_TEST(network.agree(rest));
+    BOOST_TEST(network.haveSameView(rest));
     network.at("r3").paused = false;
-    BOOST_TEST(network.runUntil(rejoinBound, [&] { return network.agree(all); }).has_value());
+    BOOST_TEST(network.runUntil(maxRejoinTime, [&] { return network.haveSameView(all); }).has_value());
     BOOST_TEST(network.send("r1", "r3", 1));
     network.run(1s);
-    BOOST_TEST(network.at("r3").received == numbers(1), boost::test_tools::per_element());
+    BOOST_TEST(network.at("r3").received == serialsUpTo(1), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(an_empty_restart_replaces_the_old_incarnation_everywhere)
 {
     auto network = fake_network(1);
-    const auto all = startAndSettle(network);
+    const auto all = startThreeAndConnect(network);
     const auto old = network.incarnationOf("r2");
-    BOOST_TEST(network.send("r1", "r2", 1)); // Meant for the old one, on its way when it dies.
+    BOOST_TEST(network.send("r1", "r2", 1)); // For the old incarnation, in transit when it dies.
     network.remove("r2");
     network.add("r2", "a-1", { "r1:1" });
-    network.run(rejoinBound);
-    BOOST_TEST(network.agree(all));
+    network.run(maxRejoinTime);
+    BOOST_TEST(network.haveSameView(all));
     for (const auto *instance : { "r1", "r3" }) {
         BOOST_TEST(!network.at(instance).mesh->routers().find(old));
     }
@@ -205,12 +211,12 @@
     BOOST_TEST(network.at("r2").received == std::vector<std::uint64_t>{ 2 }, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(an_old_incarnation_that_wakes_up_beside_its_successor_does_not_come_back)
+BOOST_AUTO_TEST_CASE(an_old_incarnation_beside_its_successor_does_not_rejoin)
 {
     auto network = fake_network(1);
-    const auto all = startAndSettle(network);
+    const auto all = startThreeAndConnect(network);
     const auto old = network.incarnationOf("r2");
-    auto stray = std::move(network.at("r2").mesh); // Still alive somewhere, with its transport.
+    auto stray = std::move(network.at("r2").mesh); // The old incarnation keeps running with its transport.
     auto transport = std::move(network.at("r2").transport);
     network.add("r2", "a-1", { "r1:1" });
     for (auto second = 0; second < 30; ++second) {
@@ -221,53 +227,53 @@
             BOOST_TEST((second < 3 || !known));
         }
     }
-    BOOST_TEST(network.agree(all));
+    BOOST_TEST(network.haveSameView(all));
 }
 
-BOOST_AUTO_TEST_CASE(a_data_centre_that_was_cut_off_is_known_again)
+BOOST_AUTO_TEST_CASE(a_partitioned_data_centre_is_rediscovered)
 {
     auto network = fake_network(1);
-    const auto all = startNine(network);
-    BOOST_REQUIRE(network.runUntil(20s, [&] { return network.agree(all); }));
+    const auto all = startNineRouters(network);
+    BOOST_REQUIRE(network.runUntil(20s, [&] { return network.haveSameView(all); }));
     const auto away = std::set<std::string>{ "b-1x", "b-1y", "b-1z" };
     network.partition(away);
-    network.run(membership_settings().remoteTimeout + lossBound);
-    BOOST_TEST(network.agree(away));
-    BOOST_TEST(network.agree(without(all, away)));
+    network.run(membership_settings().remoteTimeout + maxLossTime);
+    BOOST_TEST(network.haveSameView(away));
+    BOOST_TEST(network.haveSameView(without(all, away)));
     network.run(120s);
     network.heal();
-    BOOST_TEST(network.runUntil(remoteRejoinBound, [&] { return network.agree(all); }).has_value());
+    BOOST_TEST(network.runUntil(maxRemoteRejoinTime, [&] { return network.haveSameView(all); }).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_gateway_is_replaced_before_its_data_centre_counts_as_gone)
+BOOST_AUTO_TEST_CASE(a_dead_gateway_is_replaced_before_its_data_centre_is_considered_lost)
 {
     auto network = fake_network(1);
-    const auto all = startNine(network);
-    BOOST_REQUIRE(network.runUntil(20s, [&] { return network.agree(all); }));
-    const auto key = gatewayDuty("b-1", "a-1");
-    const auto dead = *holdersOf(network, all, key).begin();
+    const auto all = startNineRouters(network);
+    BOOST_REQUIRE(network.runUntil(20s, [&] { return network.haveSameView(all); }));
+    const auto key = gatewayRole("b-1", "a-1");
+    const auto dead = *findRoleHolders(network, all, key).begin();
     network.remove(dead);
     const auto rest = without(all, { dead });
     for (auto second = 0; second < 60; ++second) {
         network.run(1s);
         for (const auto &instance : rest) {
             const auto live = network.at(instance).mesh->routers().members(network.now());
-            const auto known =
-                std::count_if(live.begin(), live.end(), [&](const member &who) { return rest.contains(who.instance); });
+            const auto known = std::count_if(live.begin(), live.end(),
+                                             [&](const member &router) { return rest.contains(router.instance); });
             BOOST_TEST(known == static_cast<std::ptrdiff_t>(rest.size()));
         }
     }
-    BOOST_TEST(network.agree(rest));
+    BOOST_TEST(network.haveSameView(rest));
 }
 
 BOOST_AUTO_TEST_CASE(between_data_centres_only_gateways_hold_links)
 {
     auto network = fake_network(1);
-    const auto all = startNine(network);
-    BOOST_REQUIRE(network.runUntil(20s, [&] { return network.agree(all); }));
-    BOOST_TEST(network.send("a-1x", "b-1z", 1)); // A link for one message, closed when it was idle for long.
+    const auto all = startNineRouters(network);
+    BOOST_REQUIRE(network.runUntil(20s, [&] { return network.haveSameView(all); }));
+    BOOST_TEST(network.send("a-1x", "b-1z", 1)); // Opens a link for one message, which is closed when idle.
     network.run(1s);
-    BOOST_TEST(network.at("b-1z").received == numbers(1), boost::test_tools::per_element());
+    BOOST_TEST(network.at("b-1z").received == serialsUpTo(1), boost::test_tools::per_element());
     network.run(90s);
     auto between = 0;
     for (const auto &instance : all) {
@@ -275,7 +281,7 @@
             between += address.substr(0, 3) == instance.substr(0, 3) ? 0 : 1;
         }
     }
-    BOOST_TEST(between == 6); // One each way for each of three pairs.
+    BOOST_TEST(between == 6); // One in each direction for each of three pairs.
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/peer/tcp_relay.h
+++ b/tests/unit/peer/tcp_relay.h
@@ -8,8 +8,8 @@
 
 namespace marjoramloom {
 
-/// A TCP relay on loopback whose connections can go silent for good, in one direction, while new ones work. Used on one
-/// thread.
+/// A TCP relay on loopback that can drop all data of its connections, also in one direction only, while new ones work.
+/// Must be used on one thread.
 class tcp_relay
 {
 public:
@@ -22,7 +22,7 @@
         acceptNext();
     }
 
-    /// Relays connections to \p target (127.0.0.1:port) from now on.
+    /// Relays new connections to \p target (127.0.0.1:port).
     auto setTarget(const std::string &target) -> void
     {
         m_targetPort = static_cast<unsigned short>(std::stoi(target.substr(target.rfind(':') + 1)));
@@ -33,7 +33,7 @@
         return "127.0.0.1:" + std::to_string(m_acceptor.local_endpoint().port());
     }
 
-    /// What is sent on connections open now is read and dropped from here on, both ways.
+    /// Reads and drops all further data of the open connections, in both directions.
     auto freezeConnections() -> void
     {
         for (const auto &one : m_connections) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Only what comes back on connections open now is read and dropped.
+    /// Reads and drops further data that the target sends on the open connections.
     auto freezeAnswers() -> void
     {
         for (const auto &one : m_connections) {
@@ -49,18 +49,18 @@
         }
     }
 
-    /// Ends the connections open now; with a reset where bytes are under way.
+    /// Closes the open connections; peers see a reset where data is in transit.
     auto closeConnections() -> void
     {
         auto ignored = boost::system::error_code();
         for (const auto &one : m_connections) {
-            one->near.close(ignored);
-            one->far.close(ignored);
+            one->clientSide.close(ignored);
+            one->targetSide.close(ignored);
         }
         m_connections.clear();
     }
 
-    /// New connections are silent too until resumed.
+    /// Sets whether new connections drop all data, too.
     auto setFreezeNew(bool freeze) -> void
     {
         m_freezeNew = freeze;
@@ -72,16 +72,17 @@
     }
 
 private:
+    /// A relayed connection.
     struct connection
     {
         explicit connection(boost::asio::io_context &context)
-            : near(context)
-            , far(context)
+            : clientSide(context)
+            , targetSide(context)
         {
         }
 
-        tcp::socket near;
-        tcp::socket far;
+        tcp::socket clientSide;
+        tcp::socket targetSide;
         std::array<char, 4096> up{};
         std::array<char, 4096> down{};
         bool frozen = false;
@@ -90,37 +91,38 @@
 
     auto acceptNext() -> void
     {
-        auto fresh = std::make_shared<connection>(m_context);
-        m_acceptor.async_accept(fresh->near, [this, fresh](const boost::system::error_code &failure) {
+        auto created = std::make_shared<connection>(m_context);
+        m_acceptor.async_accept(created->clientSide, [this, created](const boost::system::error_code &failure) {
             if (failure) {
                 return;
             }
             auto refused = boost::system::error_code();
-            fresh->far.connect(tcp::endpoint(boost::asio::ip::address_v4::loopback(), m_targetPort), refused);
-            fresh->frozen = m_freezeNew;
-            m_connections.push_back(fresh);
-            pump(fresh, fresh->near, fresh->far, fresh->up);
-            pump(fresh, fresh->far, fresh->near, fresh->down);
+            created->targetSide.connect(tcp::endpoint(boost::asio::ip::address_v4::loopback(), m_targetPort), refused);
+            created->frozen = m_freezeNew;
+            m_connections.push_back(created);
+            pump(created, created->clientSide, created->targetSide, created->up);
+            pump(created, created->targetSide, created->clientSide, created->down);
             acceptNext();
         });
     }
 
-    static auto pump(const std::shared_ptr<connection> &held, tcp::socket &from, tcp::socket &to,
+    static auto pump(const std::shared_ptr<connection> &connectionState, tcp::socket &from, tcp::socket &to,
                      std::array<char, 4096> &buffer) -> void
     {
-        from.async_read_some(boost::asio::buffer(buffer),
-                             [held, &from, &to, &buffer](const boost::system::error_code &failure, std::size_t count) {
-                                 auto ignored = boost::system::error_code();
-                                 if (failure) {
-                                     to.close(ignored);
-                                     return;
-                                 }
-                                 const auto isAnswer = &from == &held->far;
-                                 if (!held->frozen && !(isAnswer && held->answersFrozen)) {
-                                     boost::asio::write(to, boost::asio::buffer(buffer, count), ignored);
-                                 }
-                                 pump(held, from, to, buffer);
-                             });
+        from.async_read_some(
+            boost::asio::buffer(buffer),
+            [connectionState, &from, &to, &buffer](const boost::system::error_code &failure, std::size_t count) {
+                auto ignored = boost::system::error_code();
+                if (failure) {
+                    to.close(ignored);
+                    return;
+                }
+                const auto isAnswer = &from == &connectionState->targetSide;
+                if (!connectionState->frozen && !(isAnswer && connectionState->answersFrozen)) {
+                    boost::asio::write(to, boost::asio::buffer(buffer, count), ignored);
+                }
+                pump(connectionState, from, to, buffer);
+            });
     }
 
     boost::asio::io_context &m_context;
