--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -355,7 +355,7 @@
     };
     const auto add = [&](const configuration_object &object) {
         change.operations.push_back({ operation_kind::put, kindOf(object), nameOf(object), object });
-        if (change.operations.size() == operationsPerChange) {
+        if (change.operations.size() == maxOperationsPerChange) {
             flush();
         }
     };
--- a/include/marjoramloom/contract/change_log.inl
+++ b/include/marjoramloom/contract/change_log.inl
@@ -3,8 +3,8 @@
 namespace marjoramloom {
 
 namespace change_limits {
-constexpr auto retryFirst = std::chrono::milliseconds(50);
-constexpr auto retryLimit = std::chrono::milliseconds(500);
+constexpr auto minRetryDelay = std::chrono::milliseconds(50);
+constexpr auto maxRetryDelay = std::chrono::milliseconds(500);
 } // namespace change_limits
 
 template<watched_store Platform>
@@ -22,27 +22,28 @@
 auto change_log<Platform>::commit(proposed_change proposal, last_reason &why) -> boost::asio::awaitable<commit_outcome>
 {
     if (proposal.baseSequence > m_store.sequence()) {
-        // The operator read from a router that is ahead of this one.
+        // The operator read the configuration from a router that is ahead of this one.
         co_await m_watcher.refresh(why);
     }
-    const auto repeated = m_store.findChange(proposal.id);
-    if (repeated) {
+    const auto acceptedSequence = m_store.findChange(proposal.id);
+    if (acceptedSequence) {
         co_return commit_outcome{
-            .result = commit_result::accepted, .sequence = *repeated, .others = {}, .problems = {}
+            .result = commit_result::accepted, .sequence = *acceptedSequence, .concurrentChanges = {}, .problems = {}
         };
     }
     const auto before = m_store.read();
     if (proposal.baseSequence > before->sequence) {
         why.fail(failure_kind::unavailable, "commit change", "", "this router has not heard of the latest changes yet");
         co_return commit_outcome{
-            .result = commit_result::refused, .sequence = before->sequence, .others = {}, .problems = {}
+            .result = commit_result::refused, .sequence = before->sequence, .concurrentChanges = {}, .problems = {}
         };
     }
     if (proposal.baseSequence < before->sequence) {
         co_return conflictAfter(proposal.baseSequence, why);
     }
-    auto outcome =
-        commit_outcome{ .result = commit_result::invalid, .sequence = before->sequence, .others = {}, .problems = {} };
+    auto outcome = commit_outcome{
+        .result = commit_result::invalid, .sequence = before->sequence, .concurrentChanges = {}, .problems = {}
+    };
     auto change = makeChange(std::move(proposal), before->sequence + 1);
     outcome.problems = checkChange(*before, change);
     if (!outcome.problems.empty()) {
@@ -68,24 +69,24 @@
     -> boost::asio::awaitable<commit_outcome>
 {
     auto timer = boost::asio::steady_timer(co_await boost::asio::this_coro::executor);
-    auto backoff = retry_backoff(change_limits::retryFirst, change_limits::retryLimit, sequence);
+    auto backoff = retry_backoff(change_limits::minRetryDelay, change_limits::maxRetryDelay, sequence);
     const auto deadline = std::chrono::steady_clock::now() + m_limit;
-    auto mayStand = false;
+    auto mayBeCommitted = false;
     for (;;) {
         const auto result = co_await writeOnce(sequence, id, text, why);
-        const auto settled = result == commit_result::accepted || result == commit_result::conflict;
-        if (settled) {
-            co_return commit_outcome{ .result = result, .sequence = sequence, .others = {}, .problems = {} };
+        const auto isFinal = result == commit_result::accepted || result == commit_result::conflict;
+        if (isFinal) {
+            co_return commit_outcome{ .result = result, .sequence = sequence, .concurrentChanges = {}, .problems = {} };
         }
-        mayStand = mayStand || result == commit_result::unknown;
+        mayBeCommitted = mayBeCommitted || result == commit_result::unknown;
         if (std::chrono::steady_clock::now() >= deadline) {
             break;
         }
         timer.expires_after(backoff.next());
         co_await timer.async_wait(boost::asio::use_awaitable);
     }
-    const auto result = mayStand ? commit_result::unknown : commit_result::refused;
-    co_return commit_outcome{ .result = result, .sequence = sequence - 1, .others = {}, .problems = {} };
+    const auto result = mayBeCommitted ? commit_result::unknown : commit_result::refused;
+    co_return commit_outcome{ .result = result, .sequence = sequence - 1, .concurrentChanges = {}, .problems = {} };
 }
 
 template<watched_store Platform>
@@ -102,21 +103,21 @@
     }
     if (outcome.result == write_result::conflict) {
         auto problems = configuration_problems();
-        const auto standing = changeFromText(outcome.current.value, problems);
-        if (!standing || standing->id != id) {
+        const auto existing = changeFromText(outcome.current.value, problems);
+        if (!existing || existing->id != id) {
             co_return commit_result::conflict;
         }
     }
-    // The create may have taken the place of a change that was compacted away; then it was not the commit.
-    const auto genuine = co_await liesAboveFloor(sequence, why);
-    if (!genuine) {
+    // If the name was free because compaction had deleted an older change, the created object is not a commit.
+    const auto aboveFloor = co_await isAboveSnapshotFloor(sequence, why);
+    if (!aboveFloor) {
         co_return commit_result::unknown;
     }
-    co_return *genuine ? commit_result::accepted : commit_result::conflict;
+    co_return *aboveFloor ? commit_result::accepted : commit_result::conflict;
 }
 
 template<watched_store Platform>
-auto change_log<Platform>::liesAboveFloor(std::uint64_t sequence, last_reason &why)
+auto change_log<Platform>::isAboveSnapshotFloor(std::uint64_t sequence, last_reason &why)
     -> boost::asio::awaitable<std::optional<bool>>
 {
     const auto head = co_await m_snapshots.readHead(why);
@@ -130,7 +131,7 @@
              "the configuration was changed since sequence " + std::to_string(baseSequence));
     return { .result = commit_result::conflict,
              .sequence = m_store.sequence(),
-             .others = m_store.summariesAfter(baseSequence),
+             .concurrentChanges = m_store.summariesAfter(baseSequence),
              .problems = {} };
 }
 
--- a/include/marjoramloom/contract/configuration.h
+++ b/include/marjoramloom/contract/configuration.h
@@ -11,17 +11,17 @@
 
 namespace marjoramloom {
 
-/// A customer whose requests share the fleet's capacity.
+/// A customer; the fleet's capacity is shared among the requests of all client accounts.
 struct client_account
 {
     object_id id;
     std::string name;
     std::vector<std::string> keyHashes; ///< SHA-256 of each bearer key, lower-case hexadecimal.
-    double weight = 1.0; ///< Share relative to other accounts.
-    std::uint32_t queueLimit = 256; ///< Waiting requests per router.
+    double weight = 1.0; ///< Share of the capacity relative to other accounts.
+    std::uint32_t queueLimit = 256; ///< Maximum number of waiting requests per router.
 };
 
-/// Whether work of a profile is expected to be short or long.
+/// Whether requests of a profile are expected to be short or long.
 enum class work_length {
     shortWork,
     longWork,
@@ -36,22 +36,22 @@
     };
 };
 
-/// How a class of work is treated.
+/// Scheduling and retry parameters of a class of requests.
 struct profile
 {
     object_id id;
     std::string name;
     work_length length = work_length::shortWork;
-    std::chrono::milliseconds maxWait{ 30'000 }; ///< A request that would wait longer is refused.
-    std::chrono::milliseconds timeout{ 600'000 }; ///< Whole request, from its arrival.
-    double expectedTokens = 200; ///< First estimate of a request's cost, before any was observed.
-    bool hedge = false; ///< A slow first token may be asked for a second time elsewhere.
-    std::uint32_t retries = 2; ///< Further attempts after one that failed.
-    bool suspendable = false; ///< May give its place to waiting short work and resume later.
+    std::chrono::milliseconds maxWait{ 30'000 }; ///< A request that would wait longer is rejected.
+    std::chrono::milliseconds timeout{ 600'000 }; ///< For the whole request, from its arrival.
+    double expectedTokens = 200; ///< Estimated cost of a request until costs have been observed.
+    bool hedge = false; ///< Whether a second attempt may start on another server if the first token is late.
+    std::uint32_t retries = 2; ///< Maximum number of further attempts after a failed one.
+    bool suspendable = false; ///< Whether a request may be suspended for waiting short requests and resumed later.
     std::uint32_t maxSuspensions = 3; ///< Per request.
 };
 
-/// What kind of backend server carries out a service.
+/// Kind of backend server that runs a service.
 enum class service_kind {
     model,
     plain,
@@ -66,18 +66,18 @@
     };
 };
 
-/// Something callers can ask for: a model, or a plain service.
+/// A target of requests: a model, or a plain HTTP service.
 struct service
 {
     object_id id;
-    std::string name; ///< For models also the `model` of a completions request.
+    std::string name; ///< For models also the value of `model` in a completions request.
     service_kind kind = service_kind::model;
     std::string profile;
-    bool repeatable = true; ///< False: a call needs an Idempotency-Key and runs at most once.
-    double callCost = 1.0; ///< Charge of one plain call, in weighted tokens.
+    bool repeatable = true; ///< If false, a call needs an Idempotency-Key and is executed at most once.
+    double callCost = 1.0; ///< Cost charged for one call of a plain service, in weighted tokens.
 };
 
-/// A model engine or plain server that carries out requests.
+/// A server that executes requests: a model engine or a plain HTTP server.
 struct backend_server
 {
     object_id id;
@@ -85,11 +85,11 @@
     std::string service;
     std::string dataCentre;
     std::string address; ///< IP:port.
-    std::uint32_t slots = 8; ///< Requests at once.
-    bool checksFencing = false; ///< Refuses orders with an old fencing number.
+    std::uint32_t slots = 8; ///< Maximum number of concurrent requests.
+    bool checksFencing = false; ///< Whether the server rejects orders with an outdated fencing number.
 };
 
-/// A window in which a backend server gets no new work.
+/// A maintenance window during which a backend server gets no new requests.
 struct planned_stop
 {
     object_id id;
@@ -99,7 +99,7 @@
     std::int64_t untilUnixMs = 0;
 };
 
-/// The whole accepted configuration. Immutable once published.
+/// The complete configuration after a number of accepted changes. Immutable once published.
 struct configuration
 {
     std::uint64_t sequence = 0; ///< Number of changes accepted so far; 0 before the first.
--- a/include/marjoramloom/contract/configuration_change.h
+++ b/include/marjoramloom/contract/configuration_change.h
@@ -30,26 +30,27 @@
     };
 };
 
-/// One object of any kind; the alternatives are in the order of object_kind.
+/// An object of any kind; the alternatives are in the order of object_kind.
 using configuration_object = std::variant<client_account, profile, service, backend_server, planned_stop>;
 
-/// Kind of \p object. Thread safe.
+/// Returns the kind of \p object. Thread safe.
 inline auto kindOf(const configuration_object &object) -> object_kind
 {
     return static_cast<object_kind>(object.index());
 }
 
-/// Name of \p object. Thread safe.
+/// Returns the name of \p object. Thread safe.
 inline auto nameOf(const configuration_object &object) -> const std::string &
 {
-    return std::visit([](const auto &held) -> const std::string & { return held.name; }, object);
+    return std::visit([](const auto &alternative) -> const std::string & { return alternative.name; }, object);
 }
 
-/// An empty object of \p kind. Thread safe.
+/// Makes an object of \p kind with default values. Thread safe.
 auto makeObject(object_kind kind) -> configuration_object;
 
+/// What an operation does with the object of its kind and name.
 enum class operation_kind {
-    put, ///< Creates the object, or replaces the one of that name.
+    put, ///< Creates or replaces the object.
     remove,
 };
 
@@ -62,32 +63,32 @@
     };
 };
 
-/// One step of a change.
+/// Creation, replacement or deletion of one object.
 struct configuration_operation
 {
     operation_kind operation = operation_kind::put;
     object_kind kind = object_kind::clientAccount;
     std::string name;
-    configuration_object object; ///< For a put.
+    configuration_object object; ///< Only for a put.
 };
 
-/// An accepted change: all of its operations take effect together.
+/// A change of the configuration; its operations are applied atomically.
 struct configuration_change
 {
-    std::uint64_t sequence = 0; ///< From 1, without gaps.
-    std::string id; ///< Chosen at random by whoever asked for the change.
+    std::uint64_t sequence = 0; ///< Starts at 1 and has no gaps.
+    std::string id; ///< Random; chosen by the proposer.
     std::string author;
     std::int64_t unixMs = 0;
     std::vector<configuration_operation> operations;
 };
 
-/// Most operations of one change; the index must fit into an object_id.
-constexpr auto operationsPerChange = std::size_t(1000);
+/// Maximum number of operations of one change; the index of an operation has 10 bits in an object_id.
+constexpr auto maxOperationsPerChange = std::size_t(1000);
 
-/// Configuration after \p change: new objects get identities, objects that are replaced keep theirs. Thread safe.
+/// Returns \p before with \p change applied. New objects get new ids, replaced objects keep theirs. Thread safe.
 auto applyOperations(const configuration &before, const configuration_change &change) -> configuration;
 
-/// Visits the map of each kind of object: `visitor(kind, map)`.
+/// Calls `visitor(kind, map)` with the map of each kind of object.
 template<typename Configuration, typename Visitor>
 auto forEachKind(Configuration &all, Visitor &&visitor) -> void
 {
--- a/include/marjoramloom/contract/configuration_check.h
+++ b/include/marjoramloom/contract/configuration_check.h
@@ -5,12 +5,12 @@
 
 namespace marjoramloom {
 
-/// Everything wrong with \p all as a whole: references to objects that do not exist, keys and addresses used twice,
-/// contradicting values. Thread safe.
+/// Returns all problems of the configuration \p all: references to objects that do not exist, duplicate keys and
+/// addresses, contradicting values. Thread safe.
 auto checkConfiguration(const configuration &all) -> configuration_problems;
 
-/// Everything wrong with \p operations themselves: deletions of what does not exist, an object named twice, too many
-/// operations. Thread safe.
+/// Returns all problems of \p operations: deletions of objects that do not exist in \p before, several operations on
+/// one object, no or too many operations. Thread safe.
 auto checkOperations(const configuration &before, const std::vector<configuration_operation> &operations)
     -> configuration_problems;
 
--- a/include/marjoramloom/contract/configuration_problem.h
+++ b/include/marjoramloom/contract/configuration_problem.h
@@ -6,20 +6,20 @@
 
 namespace marjoramloom {
 
-/// One thing that is wrong with configuration objects.
+/// An error in configuration objects or in a change of them.
 struct configuration_problem
 {
-    std::string file; ///< Empty where the objects came by the network.
-    std::uint32_t line = 0; ///< 0 where unknown.
-    std::string object; ///< "kind/name".
-    std::string key; ///< Empty for the object as a whole.
-    std::string text;
+    std::string file; ///< Empty if the objects were not read from a file.
+    std::uint32_t line = 0; ///< 0 if not known.
+    std::string object; ///< As "kind/name"; empty if the problem is not specific to an object.
+    std::string key; ///< Empty if the problem concerns the whole object.
+    std::string text; ///< Description.
 
-    /// `file:line: kind/name: key: text`, without the parts that are not known.
+    /// Returns `file:line: kind/name: key: text` without the parts that are empty.
     [[nodiscard]] auto message() const -> std::string;
 };
 
-/// Everything that is wrong, in the order found; empty when all is well.
+/// Problems in the order in which they were found; empty if there are none.
 using configuration_problems = std::vector<configuration_problem>;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/contract/configuration_store.h
+++ b/include/marjoramloom/contract/configuration_store.h
@@ -12,18 +12,18 @@
 
 namespace marjoramloom {
 
-/// What became of a change that a store was offered.
+/// Result of offering a change to a store.
 enum class offer_result {
     applied,
-    known, ///< Its sequence is not above the store's.
-    gap, ///< A change before it is missing.
-    malformed, ///< Nothing in it can be read, not even its sequence.
+    alreadyApplied, ///< Its sequence is not above that of the store.
+    gap, ///< An earlier change is missing.
+    malformed, ///< A snapshot that cannot be parsed or holds another sequence.
 };
 
-/// Why a store's configuration changed hands.
+/// Where a store got a change from.
 enum class change_source {
     platform,
-    peer,
+    peer, ///< Another router.
     local, ///< Committed by this router.
 };
 
@@ -37,28 +37,30 @@
     };
 };
 
-/// A committed change, or a snapshot of everything up to its sequence, as it travels between routers.
+/// A serialized change or a snapshot of the configuration after it, as exchanged between routers.
 struct relayed_change
 {
     std::uint64_t sequence = 0;
     std::string value;
 };
 
-/// Who made a change.
+/// Author and objects of a change.
 struct change_summary
 {
     std::uint64_t sequence = 0;
     std::string id;
     std::string author;
     std::int64_t unixMs = 0;
-    std::vector<std::string> objects; ///< "operation kind/name" each.
+    std::vector<std::string> objects; ///< As "operation kind/name".
 };
 
-/// The configuration that a router works by. It only moves forward, one committed change at a time or by a snapshot.
+/// Holds the active configuration of a router. Its sequence only increases, by one committed change at a time or by a
+/// snapshot.
 ///
-/// A committed change that this version cannot carry out whole (malformed, or with a result that fails the checks) is
-/// stepped over whole, with a log line and a counter: the sequence moves on, the objects stay.
-/// Thread safe. Listeners are called in order of the changes, one at a time, and must not offer changes themselves.
+/// A committed change that is malformed, or that leads to a configuration that is not valid for this version, is
+/// skipped as a whole: the sequence advances, the objects do not change, and the event is logged and counted.
+///
+/// Thread safe. Listeners are called in the order of the changes, one at a time, and must not call offer().
 class configuration_store
 {
 public:
@@ -67,13 +69,13 @@
     /// Precondition: \p counters outlives the store.
     explicit configuration_store(counter_registry &counters);
 
-    /// The configuration in force. Never null; sequence 0 before anything was loaded.
+    /// Returns the active configuration. Never null; its sequence is 0 until one was loaded.
     [[nodiscard]] auto read() const -> std::shared_ptr<const configuration>
     {
         return m_cell.read();
     }
 
-    /// The cell itself, for readers on the path of a request.
+    /// Returns the cell that holds the active configuration, for readers in the request path.
     [[nodiscard]] auto cell() const -> const rcu_cell<configuration> &
     {
         return m_cell;
@@ -84,36 +86,37 @@
         return m_sequence.load(std::memory_order_acquire);
     }
 
-    /// Applies a committed change or snapshot where it is the next one. Precondition: \p value was committed on the
-    /// platform with this sequence.
+    /// Applies a committed change if it is the next one, or a snapshot if it is newer than the active configuration.
+    /// Precondition: \p value was committed on the platform with this sequence.
     auto offer(std::uint64_t sequence, const std::string &value, change_source source) -> offer_result;
 
-    /// Changes after \p sequence, at most \p limit. Begins with a snapshot where the changes are no longer kept.
+    /// Returns at most \p limit changes after \p sequence, or a snapshot if the next change is no longer in memory.
     [[nodiscard]] auto changesAfter(std::uint64_t sequence, std::size_t limit) const -> std::vector<relayed_change>;
 
-    /// Kept changes after \p sequence, for telling operators who changed what.
+    /// Returns summaries of the changes after \p sequence that are still in memory.
     [[nodiscard]] auto summariesAfter(std::uint64_t sequence) const -> std::vector<change_summary>;
 
-    /// The sequence at which the change \p id was applied; nothing where it was not, or is no longer kept.
+    /// Returns the sequence of the change with this id; nothing if it was not applied or is no longer in memory.
     [[nodiscard]] auto findChange(const std::string &id) const -> std::optional<std::uint64_t>;
 
-    /// Text that offer() takes as a snapshot of the configuration in force.
+    /// Serializes the active configuration as a snapshot for offer().
     [[nodiscard]] auto snapshot() const -> relayed_change;
 
-    /// Calls \p added after each change.
-    auto addListener(listener added) -> void;
+    /// Calls \p callback after each change.
+    auto addListener(listener callback) -> void;
 
-    /// Notes that the platform was read to its end, or that a peer that had a configuration answered.
+    /// Notes that all changes on the platform were read.
     auto noteLoaded() -> void;
 
-    /// Notes the sequence that a peer says it works by.
-    auto noteAnnounced(std::uint64_t sequence) -> void;
+    /// Notes the sequence of the active configuration of a peer.
+    auto notePeerSequence(std::uint64_t sequence) -> void;
 
-    /// Whether a configuration is loaded and no peer announced a newer one.
-    [[nodiscard]] auto isCurrent() const -> bool;
+    /// Whether a configuration is loaded and no peer is known to have a newer one.
+    [[nodiscard]] auto isUpToDate() const -> bool;
 
 private:
-    struct kept_change
+    /// A change that is kept in memory for peers and operators.
+    struct recent_change
     {
         relayed_change change;
         change_summary summary;
@@ -122,19 +125,21 @@
     auto applyChange(std::uint64_t sequence, const std::string &value, change_source source) -> void;
     auto applySnapshot(std::uint64_t sequence, const std::string &value, change_source source) -> offer_result;
     auto publish(configuration next, change_source source) -> void;
-    auto keep(relayed_change change, change_summary summary) -> void;
-    auto stepOver(std::uint64_t sequence, const std::string &problem) -> void;
+    /// Stores an applied change and drops the oldest ones beyond the limits of count and size.
+    auto addRecentChange(relayed_change change, change_summary summary) -> void;
+    /// Counts and logs a change that was not applied.
+    auto reportSkippedChange(std::uint64_t sequence, const std::string &problem) -> void;
 
-    counter &m_applied;
-    counter &m_steppedOver;
+    counter &m_appliedChanges;
+    counter &m_skippedChanges;
     rcu_cell<configuration> m_cell;
     std::atomic<std::uint64_t> m_sequence = 0;
-    std::atomic<std::uint64_t> m_announced = 0;
-    std::atomic<bool> m_loaded = false;
+    std::atomic<std::uint64_t> m_highestPeerSequence = 0;
+    std::atomic<bool> m_loaded = false; ///< The platform was read, even if it holds no changes.
     std::mutex m_applyMutex;
     std::vector<listener> m_listeners;
-    mutable std::mutex m_keptMutex;
-    std::deque<kept_change> m_kept;
+    mutable std::mutex m_recentChangesMutex;
+    std::deque<recent_change> m_recentChanges;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/contract/configuration_watcher.inl
+++ b/include/marjoramloom/contract/configuration_watcher.inl
@@ -9,9 +9,9 @@
 namespace marjoramloom {
 
 namespace watcher_limits {
-constexpr auto retryFirst = std::chrono::milliseconds(100);
-constexpr auto retryLimit = std::chrono::milliseconds(3'000);
-constexpr auto dutyCheck = std::chrono::milliseconds(250);
+constexpr auto minRetryDelay = std::chrono::milliseconds(100);
+constexpr auto maxRetryDelay = std::chrono::milliseconds(3'000);
+constexpr auto roleCheckInterval = std::chrono::milliseconds(250);
 } // namespace watcher_limits
 
 template<watched_store Platform>
@@ -20,7 +20,7 @@
     : m_platform(platform)
     , m_store(store)
     , m_snapshots(platform)
-    , m_backoff(watcher_limits::retryFirst, watcher_limits::retryLimit, seed)
+    , m_backoff(watcher_limits::minRetryDelay, watcher_limits::maxRetryDelay, seed)
 {
 }
 
@@ -29,8 +29,8 @@
 {
     auto everRead = false;
     while (!m_stopped.load(std::memory_order_acquire)) {
-        if (everRead && !m_onDuty.load(std::memory_order_acquire)) {
-            co_await pause(watcher_limits::dutyCheck);
+        if (everRead && !m_designated.load(std::memory_order_acquire)) {
+            co_await pause(watcher_limits::roleCheckInterval);
             continue;
         }
         auto why = last_reason();
@@ -42,7 +42,7 @@
         }
         everRead = true;
         m_backoff.reset();
-        if (m_onDuty.load(std::memory_order_acquire)) {
+        if (m_designated.load(std::memory_order_acquire)) {
             auto kinds = std::vector<std::string>{ changeKind, snapshotKind };
             auto callback = watch_callback([this](const watch_event &event) { return onEvent(event); });
             co_await m_platform.watch(std::move(kinds), m_listedRevision, std::move(callback));
@@ -57,13 +57,13 @@
     if (!listed) {
         co_return false;
     }
-    // The head is read after the list: a change that was created where an old one had been compacted away is then
-    // seen to lie below the floor.
+    // The head is read after the list. A change that was created under the name of a deleted one is then recognized,
+    // as its sequence is not above the floor.
     const auto head = co_await m_snapshots.readHead(why);
     if (!head) {
         co_return false;
     }
-    raise(m_floor, head->floor);
+    raiseTo(m_floor, head->floor);
     if (head->floor > m_store.sequence()) {
         const auto value = co_await m_snapshots.load(*head, why);
         if (!value) {
@@ -76,7 +76,7 @@
         why.fail(failure_kind::unavailable, "apply changes", "platform", "a change is missing in the list");
         co_return false;
     }
-    raise(m_listedRevision, listed->revision);
+    raiseTo(m_listedRevision, listed->revision);
     m_store.noteLoaded();
     co_return true;
 }
@@ -100,10 +100,10 @@
 template<watched_store Platform>
 auto configuration_watcher<Platform>::onEvent(const watch_event &event) -> bool
 {
-    raise(m_listedRevision, event.revision);
+    raiseTo(m_listedRevision, event.revision);
     if (event.kind == watch_event_kind::put && event.object.kind == snapshotKind) {
         const auto head = parseSnapshotHead(event.object);
-        raise(m_floor, head ? head->floor : 0);
+        raiseTo(m_floor, head ? head->floor : 0);
     }
     if (event.kind == watch_event_kind::put && event.object.kind == changeKind) {
         const auto sequence = changeSequence(event.object.name);
@@ -113,14 +113,14 @@
         }
     }
     const auto behind = m_floor > m_store.sequence();
-    return !behind && m_onDuty.load(std::memory_order_acquire) && !m_stopped.load(std::memory_order_acquire);
+    return !behind && m_designated.load(std::memory_order_acquire) && !m_stopped.load(std::memory_order_acquire);
 }
 
 template<watched_store Platform>
-auto configuration_watcher<Platform>::raise(std::atomic<std::uint64_t> &value, std::uint64_t least) -> void
+auto configuration_watcher<Platform>::raiseTo(std::atomic<std::uint64_t> &value, std::uint64_t minimum) -> void
 {
     auto seen = value.load();
-    while (seen < least && !value.compare_exchange_weak(seen, least)) {}
+    while (seen < minimum && !value.compare_exchange_weak(seen, minimum)) {}
 }
 
 template<watched_store Platform>
--- a/include/marjoramloom/contract/object_id.h
+++ b/include/marjoramloom/contract/object_id.h
@@ -6,9 +6,10 @@
 
 namespace marjoramloom {
 
-/// Identity of a configuration object: the sequence of the change that created it, and its place in that change.
+/// Identifies a configuration object by the sequence of the change that created it and the index of the operation.
 ///
-/// Stays the same while the object is edited, is never used again after it is deleted, and is short on the wire.
+/// An object keeps its id when it is edited. The id is not reused after the object is deleted, and
+/// is short on the wire.
 struct object_id
 {
     std::uint64_t value = 0;
--- a/include/marjoramloom/contract/operator_api.h
+++ b/include/marjoramloom/contract/operator_api.h
@@ -7,55 +7,55 @@
 
 namespace marjoramloom {
 
-/// Answer to an operator's request; the listener sends it as JSON.
+/// Response to an operator's request; the listener sends it as JSON.
 struct operator_response
 {
-    unsigned status = 500; ///< HTTP.
+    unsigned status = 500; ///< HTTP status code.
     boost::json::object body;
 };
 
-/// Parses the body of POST /v1/changes; nothing, with problems added, where it is malformed. Thread safe.
+/// Parses the body of POST /v1/changes. If it is malformed, adds to \p problems and returns nothing. Thread safe.
 auto parseProposal(std::string_view text, configuration_problems &problems) -> std::optional<proposed_change>;
 
-/// Body of POST /v1/changes. Thread safe.
+/// Makes the body of POST /v1/changes. Thread safe.
 auto toJson(const proposed_change &proposal) -> boost::json::object;
 
-/// Response that tells how a proposed change ended. Thread safe.
+/// Makes the response for the outcome of a proposed change. Thread safe.
 auto toResponse(const commit_outcome &outcome, const last_reason &why) -> operator_response;
 
-/// Response to input that could not be read. Thread safe.
+/// Makes the response to a malformed proposal. Thread safe.
 auto toResponse(const configuration_problems &problems) -> operator_response;
 
-/// Response that carries \p why only. Thread safe.
+/// Makes a response that holds \p why only. Thread safe.
 auto errorResponse(unsigned status, const last_reason &why) -> operator_response;
 
-/// JSON of change summaries. Thread safe.
+/// Converts change summaries to JSON. Thread safe.
 auto toJson(const std::vector<change_summary> &summaries) -> boost::json::array;
 
-/// Requests of the operators' listener, which has checked the operator's key before.
+/// Handles requests of operators. The caller must have checked the operator's key.
 ///
-/// Thread safe where the platform is and the sources are.
+/// Thread safe if the platform and the added handlers are.
 template<watched_store Platform>
 class operator_api
 {
 public:
-    /// Gives the body of a request that the router answers from its own state.
-    using source = std::function<boost::asio::awaitable<boost::json::object>()>;
+    /// Returns the response body for a GET request.
+    using get_handler = std::function<boost::asio::awaitable<boost::json::object>()>;
 
-    /// Precondition: all outlive the API.
+    /// Precondition: \p store and \p changes outlive the API.
     operator_api(configuration_store &store, change_log<Platform> &changes)
         : m_store(store)
         , m_changes(changes)
     {
     }
 
-    /// Gives the body of GET \p target, for example /v1/status. To be called before the first request.
-    auto addSource(std::string target, source added) -> void
+    /// Adds the handler of GET \p target, for example /v1/status. Must be called before the first request.
+    auto addGetHandler(std::string target, get_handler handler) -> void
     {
-        m_sources[std::move(target)] = std::move(added);
+        m_getHandlers[std::move(target)] = std::move(handler);
     }
 
-    /// Answers one request. \p method is upper case; \p target may have a query.
+    /// Handles one request. \p method is in upper case; \p target may have a query.
     auto handle(std::string method, std::string target, std::string body) -> boost::asio::awaitable<operator_response>;
 
 private:
@@ -63,7 +63,7 @@
 
     configuration_store &m_store;
     change_log<Platform> &m_changes;
-    std::map<std::string, source> m_sources;
+    std::map<std::string, get_handler> m_getHandlers;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/contract/operator_api.inl
+++ b/include/marjoramloom/contract/operator_api.inl
@@ -19,14 +19,14 @@
         co_return operator_response{ 200, toJson(*m_store.read()) };
     }
     if (path == "/v1/changes") {
-        auto listed = boost::json::object();
-        listed["sequence"] = m_store.sequence();
-        listed["changes"] = toJson(m_store.summariesAfter(0));
-        co_return operator_response{ 200, std::move(listed) };
+        auto list = boost::json::object();
+        list["sequence"] = m_store.sequence();
+        list["changes"] = toJson(m_store.summariesAfter(0));
+        co_return operator_response{ 200, std::move(list) };
     }
-    const auto found = m_sources.find(path);
-    if (found != m_sources.end()) {
-        auto answer = co_await found->second();
+    const auto getHandler = m_getHandlers.find(path);
+    if (getHandler != m_getHandlers.end()) {
+        auto answer = co_await getHandler->second();
         co_return operator_response{ 200, std::move(answer) };
     }
     why.fail(failure_kind::notFound, "read request", "operator", "there is no " + path);
--- a/include/marjoramloom/contract/snapshot_store.inl
+++ b/include/marjoramloom/contract/snapshot_store.inl
@@ -21,7 +21,7 @@
     }
     const auto head = parseSnapshotHead(*object);
     if (!head) {
-        // A head that cannot be read must not keep changes from being read; the next snapshot replaces it.
+        // Changes must stay readable even if the head is malformed. The next snapshot replaces it.
         log_line(log_level::error, "snapshot_head_malformed").with("revision", object->revision);
         co_return snapshot_head{ .sequence = 0, .floor = 0, .nonce = {}, .chunks = 0, .revision = object->revision };
     }
@@ -51,35 +51,35 @@
 auto snapshot_store<Platform>::save(relayed_change snapshot, std::uint64_t floor, last_reason &why)
     -> boost::asio::awaitable<bool>
 {
-    const auto before = co_await readHead(why);
-    if (!before || before->sequence >= snapshot.sequence) {
+    const auto previousHead = co_await readHead(why);
+    if (!previousHead || previousHead->sequence >= snapshot.sequence) {
         co_return false;
     }
     auto head = snapshot_head{ .sequence = snapshot.sequence,
-                               .floor = std::max(floor, before->floor),
+                               .floor = std::max(floor, previousHead->floor),
                                .nonce = randomHex(snapshot_limits::nonceBytes),
                                .chunks = 0,
                                .revision = 0 };
     for (auto offset = std::size_t(0); offset < snapshot.value.size(); offset += snapshot_limits::chunkBytes) {
         const auto name = chunkName(head, head.chunks);
-        const auto piece = snapshot.value.substr(offset, snapshot_limits::chunkBytes);
-        const auto outcome = co_await m_platform.create(snapshotChunkKind, name, piece, why);
+        const auto chunkText = snapshot.value.substr(offset, snapshot_limits::chunkBytes);
+        const auto outcome = co_await m_platform.create(snapshotChunkKind, name, chunkText, why);
         if (outcome.result != write_result::written) {
             co_return false;
         }
         ++head.chunks;
     }
     const auto value = toText(head);
-    if (before->revision == 0) {
+    if (previousHead->revision == 0) {
         const auto outcome = co_await m_platform.create(snapshotKind, snapshotHeadName, value, why);
         co_return outcome.result == write_result::written;
     }
-    const auto outcome = co_await m_platform.update(snapshotKind, snapshotHeadName, value, before->revision, why);
+    const auto outcome = co_await m_platform.update(snapshotKind, snapshotHeadName, value, previousHead->revision, why);
     co_return outcome.result == write_result::written;
 }
 
 template<object_store Platform>
-auto snapshot_store<Platform>::removeOld(snapshot_head head, std::string changeKind, last_reason &why)
+auto snapshot_store<Platform>::removeObsolete(snapshot_head head, std::string changeKind, last_reason &why)
     -> boost::asio::awaitable<void>
 {
     const auto changes = co_await m_platform.list(changeKind, why);
--- a/include/marjoramloom/peer/configuration_relay.inl
+++ b/include/marjoramloom/peer/configuration_relay.inl
@@ -102,8 +102,8 @@
         }
     }
     if (!m_caughtUp) {
-        m_store.noteAnnounced(highest);
-        m_caughtUp = m_store.isCurrent();
+        m_store.notePeerSequence(highest);
+        m_caughtUp = m_store.isUpToDate();
     }
     if (routersAhead.empty() || now < m_nextRequest) {
         return;
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr auto manyFiles = std::size_t(1'000);
+constexpr auto maxFiles = std::size_t(1'000);
 
 auto unixMsNow() -> std::int64_t
 {
@@ -19,8 +19,9 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-/// A time: RFC 3339, "now", or +N with s, m or h after \p start.
-auto parseMoment(const std::string &text, std::int64_t start) -> std::optional<std::int64_t>
+/// Parses a time: RFC 3339, "now", or +N with the unit s, m or h, counted from \p start. Returns milliseconds since
+/// 1970.
+auto parseTimeArgument(const std::string &text, std::int64_t start) -> std::optional<std::int64_t>
 {
     constexpr auto millisecondsPerUnit =
         std::array{ std::pair('s', std::int64_t(1'000)), std::pair('m', std::int64_t(60'000)),
@@ -44,20 +45,20 @@
 
 auto runApply(const command_arguments &arguments) -> int
 {
-    const auto objects = loadFiles(arguments.words);
+    const auto objects = loadFiles(arguments.positional);
     if (!objects) {
         return static_cast<int>(exit_code::invalid);
     }
     auto router = router_client(arguments);
     auto why = last_reason();
-    const auto before = router.configurationInForce(why);
+    const auto before = router.readConfiguration(why);
     if (!before) {
         return reportFailure(why);
     }
     auto operations = planPuts(*before, *objects);
     if (operations.empty()) {
         std::printf(arguments.has("json") ? "{\"sequence\":%llu,\"operations\":0}\n"
-                                          : "nothing to change at change %llu\n",
+                                          : "nothing to change; the configuration is at change %llu\n",
                     static_cast<unsigned long long>(before->sequence));
         return static_cast<int>(exit_code::success);
     }
@@ -66,13 +67,13 @@
 
 auto runDiff(const command_arguments &arguments) -> int
 {
-    const auto objects = loadFiles(arguments.words);
+    const auto objects = loadFiles(arguments.positional);
     if (!objects) {
         return static_cast<int>(exit_code::invalid);
     }
     auto router = router_client(arguments);
     auto why = last_reason();
-    const auto before = router.configurationInForce(why);
+    const auto before = router.readConfiguration(why);
     if (!before) {
         return reportFailure(why);
     }
@@ -90,20 +91,21 @@
 
 auto runDelete(const command_arguments &arguments) -> int
 {
-    const auto kind = parseEnum<object_kind>(arguments.words[0]);
+    const auto kind = parseEnum<object_kind>(arguments.positional[0]);
     auto why = last_reason();
     if (!kind) {
-        why.fail(failure_kind::invalidInput, "read arguments", "", "there is no kind '" + arguments.words[0] + "'");
+        why.fail(failure_kind::invalidInput, "read arguments", "",
+                 "there is no kind '" + arguments.positional[0] + "'");
         return reportFailure(why);
     }
     auto router = router_client(arguments);
-    const auto before = router.configurationInForce(why);
+    const auto before = router.readConfiguration(why);
     if (!before) {
         return reportFailure(why);
     }
-    const auto &name = arguments.words[1];
+    const auto &name = arguments.positional[1];
     if (!findObject(*before, *kind, name)) {
-        why.fail(failure_kind::notFound, "delete", "", "there is no " + arguments.words[0] + " '" + name + "'");
+        why.fail(failure_kind::notFound, "delete", "", "there is no " + arguments.positional[0] + " '" + name + "'");
         return reportFailure(why);
     }
     return proposeAndReport(router, *before, { { operation_kind::remove, *kind, name, {} } }, {}, arguments);
@@ -111,14 +113,14 @@
 
 auto makeStop(const command_arguments &arguments, last_reason &why) -> std::optional<planned_stop>
 {
-    const auto at = parseMoment(arguments.value("at", "now"), unixMsNow());
-    const auto until = at ? parseMoment(arguments.value("until"), *at) : std::nullopt;
+    const auto at = parseTimeArgument(arguments.value("at", "now"), unixMsNow());
+    const auto until = at ? parseTimeArgument(arguments.value("until"), *at) : std::nullopt;
     if (!at || !until) {
         return why.fail(failure_kind::invalidInput, "read arguments", "",
                         "--at and --until expect a time such as 2026-12-04T05:00:00Z, now, +90s, +10m or +2h");
     }
     auto stop = planned_stop();
-    stop.backendServer = arguments.words[0];
+    stop.backendServer = arguments.positional[0];
     stop.name = arguments.value("name", "stop-" + stop.backendServer);
     stop.atUnixMs = *at;
     stop.untilUnixMs = *until;
@@ -133,7 +135,7 @@
         return reportFailure(why);
     }
     auto router = router_client(arguments);
-    const auto before = router.configurationInForce(why);
+    const auto before = router.readConfiguration(why);
     if (!before) {
         return reportFailure(why);
     }
@@ -151,8 +153,8 @@
                         .examples = "  marjoramloom apply accounts.toml services.toml\n"
                                     "  marjoramloom apply --router 10.0.0.5:7002 --author tigist profiles.toml\n",
                         .options = changeOptions(),
-                        .leastArguments = 1,
-                        .mostArguments = manyFiles },
+                        .minArguments = 1,
+                        .maxArguments = maxFiles },
              .run = runApply };
 }
 
@@ -163,8 +165,8 @@
                         .summary = "Shows what apply would change. Exit code 8 where there are differences.",
                         .examples = "  marjoramloom diff profiles.toml\n",
                         .options = routerOptions(),
-                        .leastArguments = 1,
-                        .mostArguments = manyFiles },
+                        .minArguments = 1,
+                        .maxArguments = maxFiles },
              .run = runDiff };
 }
 
@@ -175,17 +177,17 @@
                         .summary = "Deletes a configuration object.",
                         .examples = "  marjoramloom delete planned_stop stop-engine-3\n",
                         .options = changeOptions(),
-                        .leastArguments = 2,
-                        .mostArguments = 2 },
+                        .minArguments = 2,
+                        .maxArguments = 2 },
              .run = runDelete };
 }
 
 auto makeStopCommand() -> command
 {
     auto options = changeOptions();
-    options.push_back({ "at", "TIME", "When new work ends: RFC 3339, now, or +N with s, m or h (else now)" });
-    options.push_back({ "until", "TIME", "When it may have work again; +N counts from --at" });
-    options.push_back({ "name", "NAME", "Name of the planned stop (else stop-BACKEND_SERVER)" });
+    options.push_back({ "at", "TIME", "Start of the stop: RFC 3339, now, or +N with s, m or h (default: now)" });
+    options.push_back({ "until", "TIME", "End of the stop; +N counts from --at" });
+    options.push_back({ "name", "NAME", "Name of the planned stop (default: stop-BACKEND_SERVER)" });
     return { .usage = { .name = "stop",
                         .arguments = "BACKEND_SERVER",
                         .summary = "Plans a stop of a backend server; running requests finish.",
@@ -193,8 +195,8 @@
                                     "  marjoramloom stop engine-3 --until +30m\n"
                                     "  marjoramloom delete planned_stop stop-engine-3\n",
                         .options = options,
-                        .leastArguments = 1,
-                        .mostArguments = 1 },
+                        .minArguments = 1,
+                        .maxArguments = 1 },
              .run = runStop };
 }
 
--- a/src/cli/change_plan.cpp
+++ b/src/cli/change_plan.cpp
@@ -22,7 +22,7 @@
     return arguments.value("author", user == nullptr || *user == '\0' ? "operator" : user);
 }
 
-auto titleOf(const configuration_operation &operation) -> std::string
+auto qualifiedNameOf(const configuration_operation &operation) -> std::string
 {
     return std::string(nameOf(operation.kind)) + "/" + operation.name;
 }
@@ -30,15 +30,15 @@
 auto describePut(const std::optional<configuration_object> &before, const configuration_operation &operation)
     -> std::vector<std::string>
 {
-    auto lines = std::vector<std::string>{ (before ? "~ " : "+ ") + titleOf(operation) };
-    const auto old = before ? toJson(*before) : json::object();
+    auto lines = std::vector<std::string>{ (before ? "~ " : "+ ") + qualifiedNameOf(operation) };
+    const auto oldFields = before ? toJson(*before) : json::object();
     for (const auto &entry : toJson(operation.object)) {
-        const auto *was = old.if_contains(entry.key());
-        if (entry.key() == "name" || (was != nullptr && *was == entry.value())) {
+        const auto *oldValue = oldFields.if_contains(entry.key());
+        if (entry.key() == "name" || (oldValue != nullptr && *oldValue == entry.value())) {
             continue;
         }
-        const auto from = was == nullptr ? std::string() : json::serialize(*was) + " -> ";
-        lines.push_back("    " + std::string(entry.key()) + ": " + from + json::serialize(entry.value()));
+        const auto prefix = oldValue == nullptr ? std::string() : json::serialize(*oldValue) + " -> ";
+        lines.push_back("    " + std::string(entry.key()) + ": " + prefix + json::serialize(entry.value()));
     }
     return lines;
 }
@@ -63,28 +63,28 @@
     return value != nullptr && value->is_string() ? json::value_to<std::string>(*value) : std::string();
 }
 
-auto printProblems(const json::array &rows, const std::vector<placed_object> &objects) -> void
+auto printProblems(const json::array &elements, const std::vector<located_object> &objects) -> void
 {
     auto problems = configuration_problems();
-    for (const auto &row : rows) {
-        if (row.is_object()) {
-            const auto &body = row.get_object();
+    for (const auto &element : elements) {
+        if (element.is_object()) {
+            const auto &body = element.get_object();
             problems.push_back({ {}, 0, textAt(body, "object"), textAt(body, "key"), textAt(body, "text") });
         }
     }
-    placeProblems(objects, problems);
+    locateProblems(objects, problems);
     for (const auto &problem : problems) {
         std::fprintf(stderr, "%s\n", problem.message().c_str());
     }
 }
 
-auto printOthers(const json::array &rows) -> void
+auto printConcurrentChanges(const json::array &elements) -> void
 {
-    for (const auto &row : rows) {
-        if (!row.is_object()) {
+    for (const auto &element : elements) {
+        if (!element.is_object()) {
             continue;
         }
-        const auto &body = row.get_object();
+        const auto &body = element.get_object();
         auto objects = std::string();
         const auto *listed = body.if_contains("objects");
         for (const auto &object : listed != nullptr && listed->is_array() ? listed->get_array() : json::array()) {
@@ -95,36 +95,37 @@
     }
 }
 
-auto reportRefusal(const router_answer &answer, const std::vector<placed_object> &objects) -> int
+auto reportRejection(const router_answer &answer, const std::vector<located_object> &objects) -> int
 {
     const auto *problems = answer.body.if_contains("problems");
     if (problems != nullptr && problems->is_array()) {
         printProblems(problems->get_array(), objects);
     }
-    const auto *others = answer.body.if_contains("changes");
-    if (others != nullptr && others->is_array()) {
-        printOthers(others->get_array());
+    const auto *concurrentChanges = answer.body.if_contains("changes");
+    if (concurrentChanges != nullptr && concurrentChanges->is_array()) {
+        printConcurrentChanges(concurrentChanges->get_array());
     }
     return reportFailure(reasonOf(answer));
 }
 
 } // namespace
 
-auto loadFiles(const std::vector<std::string> &paths) -> std::optional<std::vector<placed_object>>
+auto loadFiles(const std::vector<std::string> &paths) -> std::optional<std::vector<located_object>>
 {
     auto problems = configuration_problems();
-    auto all = std::vector<placed_object>();
-    auto seen = std::map<std::pair<object_kind, std::string>, std::string>();
+    auto all = std::vector<located_object>();
+    auto firstLocations = std::map<std::pair<object_kind, std::string>, std::string>();
     for (const auto &path : paths) {
-        for (auto &placed : loadObjects(path, problems)) {
-            const auto key = std::pair(kindOf(placed.object), nameOf(placed.object));
-            const auto title = std::string(nameOf(key.first)) + "/" + key.second;
-            const auto place = placed.file + ":" + std::to_string(placed.line);
-            const auto [entry, fresh] = seen.emplace(key, place);
-            if (!fresh) {
-                problems.push_back({ placed.file, placed.line, title, {}, "is already declared at " + entry->second });
+        for (auto &located : loadObjects(path, problems)) {
+            const auto key = std::pair(kindOf(located.object), nameOf(located.object));
+            const auto qualifiedName = std::string(nameOf(key.first)) + "/" + key.second;
+            const auto location = located.file + ":" + std::to_string(located.line);
+            const auto [entry, inserted] = firstLocations.emplace(key, location);
+            if (!inserted) {
+                problems.push_back(
+                    { located.file, located.line, qualifiedName, {}, "is already declared at " + entry->second });
             }
-            all.push_back(std::move(placed));
+            all.push_back(std::move(located));
         }
     }
     for (const auto &problem : problems) {
@@ -137,25 +138,25 @@
     -> std::optional<configuration_object>
 {
     auto result = std::optional<configuration_object>();
-    forEachKind(all, [&](object_kind at, const auto &objects) {
-        const auto found = objects.find(name);
-        if (at == kind && found != objects.end()) {
-            result = configuration_object(found->second);
+    forEachKind(all, [&](object_kind visitedKind, const auto &objects) {
+        const auto match = objects.find(name);
+        if (visitedKind == kind && match != objects.end()) {
+            result = configuration_object(match->second);
         }
     });
     return result;
 }
 
-auto planPuts(const configuration &before, const std::vector<placed_object> &objects)
+auto planPuts(const configuration &before, const std::vector<located_object> &objects)
     -> std::vector<configuration_operation>
 {
     auto operations = std::vector<configuration_operation>();
-    for (const auto &placed : objects) {
-        const auto kind = kindOf(placed.object);
-        const auto &name = nameOf(placed.object);
-        const auto standing = findObject(before, kind, name);
-        if (!standing || toJson(*standing) != toJson(placed.object)) {
-            operations.push_back({ operation_kind::put, kind, name, placed.object });
+    for (const auto &located : objects) {
+        const auto kind = kindOf(located.object);
+        const auto &name = nameOf(located.object);
+        const auto existing = findObject(before, kind, name);
+        if (!existing || toJson(*existing) != toJson(located.object)) {
+            operations.push_back({ operation_kind::put, kind, name, located.object });
         }
     }
     return operations;
@@ -167,18 +168,18 @@
     auto lines = std::vector<std::string>();
     for (const auto &operation : operations) {
         if (operation.operation == operation_kind::remove) {
-            lines.push_back("- " + titleOf(operation));
+            lines.push_back("- " + qualifiedNameOf(operation));
             continue;
         }
-        const auto standing = findObject(before, operation.kind, operation.name);
-        const auto more = describePut(standing, operation);
-        lines.insert(lines.end(), more.begin(), more.end());
+        const auto existing = findObject(before, operation.kind, operation.name);
+        const auto putLines = describePut(existing, operation);
+        lines.insert(lines.end(), putLines.begin(), putLines.end());
     }
     return lines;
 }
 
 auto proposeAndReport(router_client &router, const configuration &before,
-                      std::vector<configuration_operation> operations, const std::vector<placed_object> &objects,
+                      std::vector<configuration_operation> operations, const std::vector<located_object> &objects,
                       const command_arguments &arguments) -> int
 {
     auto why = last_reason();
@@ -191,7 +192,7 @@
         return reportFailure(why);
     }
     if (answer->status != 200) {
-        return reportRefusal(*answer, objects);
+        return reportRejection(*answer, objects);
     }
     const auto *sequence = answer->body.if_contains("sequence");
     const auto number = sequence != nullptr && sequence->is_number() ? sequence->to_number<std::uint64_t>() : 0;
@@ -202,7 +203,7 @@
 auto changeOptions() -> std::vector<command_option>
 {
     auto options = routerOptions();
-    options.push_back({ "author", "NAME", "Who makes the change (else USER)" });
+    options.push_back({ "author", "NAME", "Author of the change (default: USER)" });
     return options;
 }
 
--- a/src/cli/change_plan.h
+++ b/src/cli/change_plan.h
@@ -5,27 +5,28 @@
 
 namespace marjoramloom {
 
-/// Loads objects of all files; problems are printed to standard error. Nothing where there was one.
-auto loadFiles(const std::vector<std::string> &paths) -> std::optional<std::vector<placed_object>>;
+/// Loads the objects of all files. Prints problems to standard error and returns nothing if there are any.
+auto loadFiles(const std::vector<std::string> &paths) -> std::optional<std::vector<located_object>>;
 
-/// Puts for those objects that are new or other than in \p before.
-auto planPuts(const configuration &before, const std::vector<placed_object> &objects)
+/// Returns put operations for the objects that do not exist in \p before or differ from it.
+auto planPuts(const configuration &before, const std::vector<located_object> &objects)
     -> std::vector<configuration_operation>;
 
-/// The object of \p kind and \p name; nothing where there is none.
+/// Returns the object with this kind and name; nothing if it does not exist.
 auto findObject(const configuration &all, object_kind kind, const std::string &name)
     -> std::optional<configuration_object>;
 
-/// Lines that tell how \p operations would change \p before, key by key.
+/// Returns lines that list the keys of \p before that \p operations would change.
 auto describe(const configuration &before, const std::vector<configuration_operation> &operations)
     -> std::vector<std::string>;
 
-/// Proposes the operations on top of \p before, and prints the result. Returns the exit code.
+/// Proposes the operations as a change based on \p before and prints the result. Problems are located in \p objects.
+/// Returns the exit code.
 auto proposeAndReport(router_client &router, const configuration &before,
-                      std::vector<configuration_operation> operations, const std::vector<placed_object> &objects,
+                      std::vector<configuration_operation> operations, const std::vector<located_object> &objects,
                       const command_arguments &arguments) -> int;
 
-/// The option --author, for commands that change the configuration.
+/// Returns the options of commands that change the configuration: those of routerOptions() and --author.
 auto changeOptions() -> std::vector<command_option>;
 
 } // namespace marjoramloom
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr auto helpCode = 1'000;
+constexpr auto helpOptionValue = 1'000;
 
 struct context_deleter
 {
@@ -20,24 +20,24 @@
 
 using popt_context = std::unique_ptr<poptContext_s, context_deleter>;
 
-auto makeTable(const command_usage &usage) -> std::vector<poptOption>
+auto makeOptionTable(const command_usage &usage) -> std::vector<poptOption>
 {
     auto table = std::vector<poptOption>();
     auto code = 1;
     for (const auto &option : usage.options) {
-        auto row = poptOption{};
-        row.longName = option.name.c_str();
-        row.argInfo = option.valueName.empty() ? POPT_ARG_NONE : POPT_ARG_STRING;
-        row.val = code++;
-        row.descrip = option.help.c_str();
-        row.argDescrip = option.valueName.empty() ? nullptr : option.valueName.c_str();
-        table.push_back(row);
+        auto entry = poptOption{};
+        entry.longName = option.name.c_str();
+        entry.argInfo = option.valueName.empty() ? POPT_ARG_NONE : POPT_ARG_STRING;
+        entry.val = code++;
+        entry.descrip = option.help.c_str();
+        entry.argDescrip = option.valueName.empty() ? nullptr : option.valueName.c_str();
+        table.push_back(entry);
     }
     auto help = poptOption{};
     help.longName = "help";
     help.shortName = 'h';
     help.argInfo = POPT_ARG_NONE;
-    help.val = helpCode;
+    help.val = helpOptionValue;
     help.descrip = "Show this help";
     table.push_back(help);
     table.push_back(poptOption{});
@@ -52,14 +52,14 @@
     std::printf("\nExamples:\n%s", usage.examples.c_str());
 }
 
-auto complain(const command_usage &usage, const std::string &what) -> std::nullopt_t
+auto printUsageError(const command_usage &usage, const std::string &problem) -> std::nullopt_t
 {
-    std::fprintf(stderr, "marjoramloom %s: %s\nTry 'marjoramloom %s --help'.\n", usage.name.c_str(), what.c_str(),
+    std::fprintf(stderr, "marjoramloom %s: %s\nTry 'marjoramloom %s --help'.\n", usage.name.c_str(), problem.c_str(),
                  usage.name.c_str());
     return std::nullopt;
 }
 
-auto takeOption(poptContext context, const command_option &option, command_arguments &arguments) -> void
+auto storeOption(poptContext context, const command_option &option, command_arguments &arguments) -> void
 {
     auto value = std::string("1");
     if (!option.valueName.empty()) {
@@ -69,22 +69,22 @@
     arguments.options[option.name] = std::move(value);
 }
 
-auto takeWords(poptContext context, const command_usage &usage, command_arguments &arguments) -> bool
+auto readPositional(poptContext context, const command_usage &usage, command_arguments &arguments) -> bool
 {
     for (const auto *word = poptGetArg(context); word != nullptr; word = poptGetArg(context)) {
-        arguments.words.emplace_back(word);
+        arguments.positional.emplace_back(word);
     }
-    const auto count = arguments.words.size();
-    return count >= usage.leastArguments && count <= usage.mostArguments;
+    const auto count = arguments.positional.size();
+    return count >= usage.minArguments && count <= usage.maxArguments;
 }
 
 } // namespace
 
-auto parseArguments(const command_usage &usage, int argc, const char *const *argv, parse_end &end)
+auto parseArguments(const command_usage &usage, int argc, const char *const *argv, parse_outcome &outcome)
     -> std::optional<command_arguments>
 {
-    end = parse_end::wrong;
-    const auto table = makeTable(usage);
+    outcome = parse_outcome::usageError;
+    const auto table = makeOptionTable(usage);
     auto words = std::vector<const char *>(argv, argv + argc);
     const auto name = "marjoramloom " + usage.name;
     words.front() = name.c_str();
@@ -94,19 +94,19 @@
     auto arguments = command_arguments();
     auto code = poptGetNextOpt(context.get());
     for (; code >= 0; code = poptGetNextOpt(context.get())) {
-        if (code == helpCode) {
+        if (code == helpOptionValue) {
             printHelp(context.get(), usage);
-            end = parse_end::helpShown;
+            outcome = parse_outcome::helpShown;
             return std::nullopt;
         }
-        takeOption(context.get(), usage.options[static_cast<std::size_t>(code) - 1], arguments);
+        storeOption(context.get(), usage.options[static_cast<std::size_t>(code) - 1], arguments);
     }
     if (code < -1) {
-        return complain(usage,
-                        std::string(poptBadOption(context.get(), POPT_BADOPTION_NOALIAS)) + ": " + poptStrerror(code));
+        return printUsageError(
+            usage, std::string(poptBadOption(context.get(), POPT_BADOPTION_NOALIAS)) + ": " + poptStrerror(code));
     }
-    if (!takeWords(context.get(), usage, arguments)) {
-        return complain(usage, usage.arguments.empty() ? "takes no arguments" : "expects " + usage.arguments);
+    if (!readPositional(context.get(), usage, arguments)) {
+        return printUsageError(usage, usage.arguments.empty() ? "takes no arguments" : "expects " + usage.arguments);
     }
     return arguments;
 }
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -4,14 +4,14 @@
 
 namespace marjoramloom {
 
-/// A command without options of its own beyond its usage; `run` returns the exit code.
+/// A command of the client; `run` returns the exit code.
 struct command
 {
     command_usage usage;
     int (*run)(const command_arguments &arguments);
 };
 
-/// The commands, one maker each.
+/// Each function makes the description of one command.
 auto makeCheckCommand() -> command;
 auto makeApplyCommand() -> command;
 auto makeDiffCommand() -> command;
--- a/src/cli/read_commands.cpp
+++ b/src/cli/read_commands.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr auto manyFiles = std::size_t(1'000);
+constexpr auto maxFiles = std::size_t(1'000);
 
-/// Settings are plain tables, configuration objects are tables in double brackets: the first one tells.
-auto looksLikeSettings(const std::string &path) -> bool
+/// Settings files hold plain tables, files of configuration objects hold arrays of tables: the first header decides.
+auto isSettingsFile(const std::string &path) -> bool
 {
     auto in = std::ifstream(path);
     auto line = std::string();
@@ -47,12 +47,12 @@
         return objects.has_value();
     }
     auto change = configuration_change{ .sequence = 1, .id = {}, .author = {}, .unixMs = 0, .operations = {} };
-    for (const auto &placed : *objects) {
+    for (const auto &located : *objects) {
         change.operations.push_back(
-            { operation_kind::put, kindOf(placed.object), nameOf(placed.object), placed.object });
+            { operation_kind::put, kindOf(located.object), nameOf(located.object), located.object });
     }
     auto problems = checkConfiguration(applyOperations({}, change));
-    placeProblems(*objects, problems);
+    locateProblems(*objects, problems);
     for (const auto &problem : problems) {
         std::fprintf(stderr, "%s\n", problem.message().c_str());
     }
@@ -62,30 +62,30 @@
 auto runCheck(const command_arguments &arguments) -> int
 {
     auto objectFiles = std::vector<std::string>();
-    auto fine = true;
-    for (const auto &path : arguments.words) {
-        if (looksLikeSettings(path)) {
-            fine = checkSettings(path) && fine;
+    auto valid = true;
+    for (const auto &path : arguments.positional) {
+        if (isSettingsFile(path)) {
+            valid = checkSettings(path) && valid;
         } else {
             objectFiles.push_back(path);
         }
     }
-    fine = (objectFiles.empty() || checkObjects(objectFiles, arguments.has("whole"))) && fine;
+    valid = (objectFiles.empty() || checkObjects(objectFiles, arguments.has("whole"))) && valid;
     if (arguments.has("json")) {
-        std::printf("{\"valid\":%s}\n", fine ? "true" : "false");
-    } else if (fine) {
-        std::printf("%zu file%s valid\n", arguments.words.size(), arguments.words.size() == 1 ? "" : "s");
+        std::printf("{\"valid\":%s}\n", valid ? "true" : "false");
+    } else if (valid) {
+        std::printf("%zu file%s valid\n", arguments.positional.size(), arguments.positional.size() == 1 ? "" : "s");
     }
-    return static_cast<int>(fine ? exit_code::success : exit_code::invalid);
+    return static_cast<int>(valid ? exit_code::success : exit_code::invalid);
 }
 
 auto selectObjects(const configuration &all, std::optional<object_kind> kind, const std::string &name)
     -> std::vector<configuration_object>
 {
     auto selected = std::vector<configuration_object>();
-    forEachKind(all, [&](object_kind at, const auto &objects) {
+    forEachKind(all, [&](object_kind visitedKind, const auto &objects) {
         for (const auto &[key, object] : objects) {
-            if ((!kind || *kind == at) && (name.empty() || name == key)) {
+            if ((!kind || *kind == visitedKind) && (name.empty() || name == key)) {
                 selected.emplace_back(object);
             }
         }
@@ -102,49 +102,49 @@
         }
         return;
     }
-    auto rows = json::array();
+    auto elements = json::array();
     for (const auto &object : objects) {
-        auto row = toJson(object);
-        row["object_kind"] = nameOf(kindOf(object));
-        rows.push_back(std::move(row));
+        auto element = toJson(object);
+        element["object_kind"] = nameOf(kindOf(object));
+        elements.push_back(std::move(element));
     }
-    const auto body = json::object{ { "sequence", sequence }, { "objects", std::move(rows) } };
+    const auto body = json::object{ { "sequence", sequence }, { "objects", std::move(elements) } };
     std::printf("%s\n", json::serialize(body).c_str());
 }
 
 auto runGet(const command_arguments &arguments) -> int
 {
     auto why = last_reason();
-    const auto &words = arguments.words;
-    const auto kind = words.empty() ? std::nullopt : parseEnum<object_kind>(words[0]);
-    if (!words.empty() && !kind) {
-        why.fail(failure_kind::invalidInput, "read arguments", "", "there is no kind '" + words[0] + "'");
+    const auto &positional = arguments.positional;
+    const auto kind = positional.empty() ? std::nullopt : parseEnum<object_kind>(positional[0]);
+    if (!positional.empty() && !kind) {
+        why.fail(failure_kind::invalidInput, "read arguments", "", "there is no kind '" + positional[0] + "'");
         return reportFailure(why);
     }
     auto router = router_client(arguments);
-    const auto all = router.configurationInForce(why);
+    const auto all = router.readConfiguration(why);
     if (!all) {
         return reportFailure(why);
     }
-    const auto name = words.size() > 1 ? words[1] : std::string();
+    const auto name = positional.size() > 1 ? positional[1] : std::string();
     const auto selected = selectObjects(*all, kind, name);
     if (!name.empty() && selected.empty()) {
-        why.fail(failure_kind::notFound, "get", "", "there is no " + words[0] + " '" + name + "'");
+        why.fail(failure_kind::notFound, "get", "", "there is no " + positional[0] + " '" + name + "'");
         return reportFailure(why);
     }
     printObjects(all->sequence, selected, arguments.has("json"));
     return static_cast<int>(exit_code::success);
 }
 
-/// Prints any JSON as indented `key: value` lines.
+/// Prints JSON as indented `key: value` lines.
 auto printTree(const json::value &value, const std::string &indent) -> void
 {
-    if (const auto *rows = value.if_array()) {
-        for (const auto &row : *rows) {
-            const auto scalar = !row.is_object() && !row.is_array();
-            std::printf("%s-%s\n", indent.c_str(), scalar ? (" " + json::serialize(row)).c_str() : "");
+    if (const auto *elements = value.if_array()) {
+        for (const auto &element : *elements) {
+            const auto scalar = !element.is_object() && !element.is_array();
+            std::printf("%s-%s\n", indent.c_str(), scalar ? (" " + json::serialize(element)).c_str() : "");
             if (!scalar) {
-                printTree(row, indent + "  ");
+                printTree(element, indent + "  ");
             }
         }
         return;
@@ -162,7 +162,7 @@
     }
 }
 
-auto showTarget(const command_arguments &arguments, const std::string &target) -> int
+auto printTarget(const command_arguments &arguments, const std::string &target) -> int
 {
     auto why = last_reason();
     auto router = router_client(arguments);
@@ -183,12 +183,12 @@
 
 auto runStatus(const command_arguments &arguments) -> int
 {
-    return showTarget(arguments, "/v1/status");
+    return printTarget(arguments, "/v1/status");
 }
 
 auto runOrders(const command_arguments &arguments) -> int
 {
-    return showTarget(arguments, "/v1/orders");
+    return printTarget(arguments, "/v1/orders");
 }
 
 } // namespace
@@ -202,8 +202,8 @@
                                     "  marjoramloom check --whole accounts.toml services.toml profiles.toml\n",
                         .options = { { "whole", "", "The files are the whole configuration: check references, too" },
                                      { "json", "", "Print JSON" } },
-                        .leastArguments = 1,
-                        .mostArguments = manyFiles },
+                        .minArguments = 1,
+                        .maxArguments = maxFiles },
              .run = runCheck };
 }
 
@@ -215,8 +215,8 @@
                         .examples = "  marjoramloom get\n  marjoramloom get profile\n"
                                     "  marjoramloom get backend_server engine-3 --json\n",
                         .options = routerOptions(),
-                        .leastArguments = 0,
-                        .mostArguments = 2 },
+                        .minArguments = 0,
+                        .maxArguments = 2 },
              .run = runGet };
 }
 
@@ -224,7 +224,7 @@
 {
     return { .usage = { .name = "status",
                         .arguments = "",
-                        .summary = "Shows the fleet as one router sees it: routers, changes in force, backend servers.",
+                        .summary = "Shows the fleet as one router sees it: routers, active changes, backend servers.",
                         .examples = "  marjoramloom status\n  marjoramloom status --json\n",
                         .options = routerOptions() },
              .run = runStatus };
--- a/src/cli/router_client.cpp
+++ b/src/cli/router_client.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-constexpr auto connectLimit = std::chrono::milliseconds(3'000);
-constexpr auto answerLimit = std::chrono::milliseconds(15'000);
-constexpr auto proposalTries = 3;
-constexpr auto retryPause = std::chrono::milliseconds(300);
+constexpr auto connectTimeout = std::chrono::milliseconds(3'000);
+constexpr auto answerTimeout = std::chrono::milliseconds(15'000);
+constexpr auto maxProposalAttempts = 3;
+constexpr auto retryDelay = std::chrono::milliseconds(300);
 
 auto fromEnvironment(const char *name) -> std::string
 {
@@ -35,34 +35,34 @@
     -> asio::awaitable<std::optional<http_response>>
 {
     const auto connection = std::make_shared<store_connection>(executor, std::move(address));
-    const auto connected = co_await connection->connect(connectLimit, why);
+    const auto connected = co_await connection->connect(connectTimeout, why);
     if (!connected) {
         co_return std::nullopt;
     }
     auto sent = sent_state::notSent;
-    co_return co_await connection->exchange(std::move(request), answerLimit, sent, why);
+    co_return co_await connection->exchange(std::move(request), answerTimeout, sent, why);
 }
 
 auto hintFor(failure_kind kind) -> const char *
 {
     switch (kind) {
     case failure_kind::unauthorized:
-        return "Give the operators' key by --key or MARJORAMLOOM_KEY.";
+        return "Set the operators' key with --key or MARJORAMLOOM_KEY.";
     case failure_kind::notSent:
-        return "Give the address of a router's operators' listener by --router or MARJORAMLOOM_ROUTER; nothing was "
+        return "Set the address of a router's operators' listener with --router or MARJORAMLOOM_ROUTER; nothing was "
                "changed.";
     case failure_kind::unavailable:
-        return "Nothing was changed. Try again, or by another router.";
+        return "Nothing was changed. Try again, or use another router.";
     case failure_kind::conflict:
         return "Look at the changes with 'marjoramloom diff FILE...', then apply again.";
     case failure_kind::unknownOutcome:
-        return "The change may be in force or not. See 'marjoramloom diff FILE...', then apply again.";
+        return "The change may or may not be accepted. Check with 'marjoramloom diff FILE...', then apply again.";
     case failure_kind::invalidInput:
         return "Correct the input; nothing was changed.";
     case failure_kind::notFound:
-        return "See 'marjoramloom get' for what there is.";
+        return "List the existing objects with 'marjoramloom get'.";
     default:
-        return "Try again, or by another router.";
+        return "Try again, or use another router.";
     }
 }
 
@@ -76,8 +76,8 @@
 
 auto routerOptions() -> std::vector<command_option>
 {
-    return { { "router", "IP:PORT", "Operators' listener of a router (else MARJORAMLOOM_ROUTER)" },
-             { "key", "KEY", "Operators' bearer key (else MARJORAMLOOM_KEY)" },
+    return { { "router", "IP:PORT", "Operators' listener of a router (default: MARJORAMLOOM_ROUTER)" },
+             { "key", "KEY", "Operators' bearer key (default: MARJORAMLOOM_KEY)" },
              { "json", "", "Print JSON" } };
 }
 
@@ -102,7 +102,7 @@
                              last_reason &why) -> std::optional<router_answer>
 {
     if (m_address.empty()) {
-        return why.fail(failure_kind::notSent, "connect", "", "no router is named");
+        return why.fail(failure_kind::notSent, "connect", "", "no router address is given");
     }
     auto request = http_request(http::string_to_verb(method), target, 11);
     request.set(http::field::host, m_address);
@@ -127,7 +127,7 @@
     return router_answer{ response->result_int(), std::move(value.as_object()) };
 }
 
-auto router_client::configurationInForce(last_reason &why) -> std::optional<configuration>
+auto router_client::readConfiguration(last_reason &why) -> std::optional<configuration>
 {
     const auto answer = get("/v1/configuration", why);
     if (!answer) {
@@ -147,22 +147,22 @@
 
 auto router_client::propose(const proposed_change &proposal, last_reason &why) -> std::optional<router_answer>
 {
-    auto mayStand = false;
-    for (auto tried = 0; tried < proposalTries; ++tried) {
-        if (tried > 0) {
-            std::this_thread::sleep_for(retryPause);
+    auto mayBeCommitted = false;
+    for (auto attempt = 0; attempt < maxProposalAttempts; ++attempt) {
+        if (attempt > 0) {
+            std::this_thread::sleep_for(retryDelay);
         }
         const auto answer = post("/v1/changes", toJson(proposal), why);
-        const auto unclear = answer ? answer->status == 504 : why.kind != failure_kind::notSent;
-        if (answer && !unclear) {
+        const auto outcomeUnknown = answer ? answer->status == 504 : why.kind != failure_kind::notSent;
+        if (answer && !outcomeUnknown) {
             return answer;
         }
-        mayStand = mayStand || unclear;
+        mayBeCommitted = mayBeCommitted || outcomeUnknown;
         if (answer) {
             why = reasonOf(*answer);
         }
     }
-    if (mayStand) {
+    if (mayBeCommitted) {
         why.kind = failure_kind::unknownOutcome;
     }
     return std::nullopt;
--- a/src/cli/router_client.h
+++ b/src/cli/router_client.h
@@ -11,34 +11,35 @@
 
 namespace marjoramloom {
 
-/// A router's answer to an operator.
+/// A router's response to an operator's request.
 struct router_answer
 {
-    unsigned status = 0; ///< HTTP.
+    unsigned status = 0; ///< HTTP status code.
     boost::json::object body;
 };
 
-/// The options --router and --key, which every command that talks to a router takes.
+/// Returns the options of all commands that connect to a router: --router, --key and --json.
 auto routerOptions() -> std::vector<command_option>;
 
-/// Client of a router's operators' listener. Blocks; not thread safe.
+/// Client of the operators' listener of a router. Its functions block. Not thread safe.
 class router_client
 {
 public:
-    /// Takes address and key from the options, else from MARJORAMLOOM_ROUTER and MARJORAMLOOM_KEY.
+    /// Takes the address and key from the options, or from MARJORAMLOOM_ROUTER and MARJORAMLOOM_KEY if they are absent.
     explicit router_client(const command_arguments &arguments);
 
-    /// The answer to GET \p target; nothing where none came.
+    /// Sends GET \p target. Returns nothing and sets \p why if there is no response.
     auto get(const std::string &target, last_reason &why) -> std::optional<router_answer>;
 
-    /// The answer to POST \p target; nothing where none came: \p why.kind is notSent where that is proved.
+    /// Sends POST \p target. Returns nothing and sets \p why if there is no response; its kind is notSent only if
+    /// nothing was sent.
     auto post(const std::string &target, const boost::json::object &body, last_reason &why)
         -> std::optional<router_answer>;
 
-    /// The configuration in force at the router.
-    auto configurationInForce(last_reason &why) -> std::optional<configuration>;
+    /// Reads the active configuration of the router.
+    auto readConfiguration(last_reason &why) -> std::optional<configuration>;
 
-    /// Commits a change, repeating it with the same id while its outcome is not known.
+    /// Proposes a change. Retries with the same id if the router was not reached or the outcome is not known.
     auto propose(const proposed_change &proposal, last_reason &why) -> std::optional<router_answer>;
 
 private:
@@ -49,13 +50,13 @@
     std::string m_key;
 };
 
-/// The exit code that belongs to a failure. Thread safe.
+/// Returns the exit code for a failure. Thread safe.
 auto exitCodeOf(failure_kind kind) -> exit_code;
 
-/// Prints what failed and what to do next to standard error; returns the exit code. Thread safe.
+/// Prints the failure and a hint to standard error; returns the exit code. Thread safe.
 auto reportFailure(const last_reason &why) -> int;
 
-/// Reason in a router's error answer. Thread safe.
+/// Returns the reason in a router's error response. Thread safe.
 auto reasonOf(const router_answer &answer) -> last_reason;
 
 } // namespace marjoramloom
--- a/src/cli/run_command.cpp
+++ b/src/cli/run_command.cpp
@@ -16,11 +16,11 @@
                               "  0  done\n"
                               "  1  internal error\n"
                               "  2  wrong command line\n"
-                              "  3  a file or change is wrong; nothing was changed\n"
-                              "  4  conflict: somebody changed the configuration meanwhile; nothing was changed\n"
+                              "  3  a file or change is not valid; nothing was changed\n"
+                              "  4  conflict: the configuration was changed concurrently; nothing was changed\n"
                               "  5  no such object\n"
                               "  6  no router answered, or it refused; nothing was changed\n"
-                              "  7  the change may be in force or not\n"
+                              "  7  the change may or may not be accepted\n"
                               "  8  diff found differences\n";
 
 auto serveUsage() -> command_usage
@@ -62,17 +62,17 @@
     std::printf("\n'marjoramloom COMMAND --help' shows options and examples.\n\n%s", exitCodeHelp);
 }
 
-auto codeOf(parse_end end) -> int
+auto exitCodeFor(parse_outcome outcome) -> int
 {
-    return static_cast<int>(end == parse_end::helpShown ? exit_code::success : exit_code::usage);
+    return static_cast<int>(outcome == parse_outcome::helpShown ? exit_code::success : exit_code::usage);
 }
 
 auto runServe(int argc, const char *const *argv, const serve_function &serve) -> int
 {
-    auto end = parse_end::wrong;
-    const auto arguments = parseArguments(serveUsage(), argc, argv, end);
+    auto outcome = parse_outcome::usageError;
+    const auto arguments = parseArguments(serveUsage(), argc, argv, outcome);
     if (!arguments) {
-        return codeOf(end);
+        return exitCodeFor(outcome);
     }
     if (!arguments->has("settings")) {
         std::fprintf(stderr, "marjoramloom serve: --settings FILE is required\nTry 'marjoramloom serve --help'.\n");
@@ -83,10 +83,10 @@
 
 auto runVersion(int argc, const char *const *argv) -> int
 {
-    auto end = parse_end::wrong;
-    const auto arguments = parseArguments(versionUsage(), argc, argv, end);
+    auto outcome = parse_outcome::usageError;
+    const auto arguments = parseArguments(versionUsage(), argc, argv, outcome);
     if (!arguments) {
-        return codeOf(end);
+        return exitCodeFor(outcome);
     }
     std::printf(arguments->has("json") ? "{\"version\":\"%s\"}\n" : "marjoramloom %s\n",
                 std::strchr(versionText, ' ') + 1);
@@ -112,9 +112,9 @@
         if (entry.usage.name != name) {
             continue;
         }
-        auto end = parse_end::wrong;
-        const auto arguments = parseArguments(entry.usage, argc - 1, argv + 1, end);
-        return arguments ? entry.run(*arguments) : codeOf(end);
+        auto outcome = parse_outcome::usageError;
+        const auto arguments = parseArguments(entry.usage, argc - 1, argv + 1, outcome);
+        return arguments ? entry.run(*arguments) : exitCodeFor(outcome);
     }
     std::fprintf(stderr, "marjoramloom: there is no command '%s'\nTry 'marjoramloom --help'.\n", name.c_str());
     return static_cast<int>(exit_code::usage);
--- a/src/contract/change_log.cpp
+++ b/src/contract/change_log.cpp
@@ -17,7 +17,7 @@
     auto problems = checkOperations(before, change.operations);
     const auto resulting = checkConfiguration(applyOperations(before, change));
     problems.insert(problems.end(), resulting.begin(), resulting.end());
-    if (changeToText(change).size() > changeLimitBytes) {
+    if (changeToText(change).size() > maxChangeBytes) {
         problems.push_back({ {}, 0, {}, "operations", "the change is larger than 1 MB; split it" });
     }
     return problems;
--- a/src/contract/configuration_change.cpp
+++ b/src/contract/configuration_change.cpp
@@ -4,42 +4,42 @@
 
 namespace {
 
-constexpr auto indexBits = 10U;
+constexpr auto operationIndexBits = 10U; ///< Low bits of an object_id; maxOperationsPerChange must fit.
 
 template<typename Object>
-auto put(std::map<std::string, Object> &objects, Object object, object_id fresh) -> void
+auto put(std::map<std::string, Object> &objects, Object object, object_id newId) -> void
 {
-    const auto found = objects.find(object.name);
-    object.id = found == objects.end() ? fresh : found->second.id;
+    const auto existing = objects.find(object.name);
+    object.id = existing == objects.end() ? newId : existing->second.id;
     const auto name = object.name;
     objects.insert_or_assign(name, std::move(object));
 }
 
-auto putObject(configuration &all, const configuration_object &object, object_id fresh) -> void
+auto putObject(configuration &all, const configuration_object &object, object_id newId) -> void
 {
     forEachKind(all, [&](object_kind, auto &objects) {
         using object_type = typename std::remove_reference_t<decltype(objects)>::mapped_type;
-        if (const auto *held = std::get_if<object_type>(&object)) {
-            put(objects, *held, fresh);
+        if (const auto *alternative = std::get_if<object_type>(&object)) {
+            put(objects, *alternative, newId);
         }
     });
 }
 
 auto removeObject(configuration &all, object_kind kind, const std::string &name) -> void
 {
-    forEachKind(all, [&](object_kind at, auto &objects) {
-        if (at == kind) {
+    forEachKind(all, [&](object_kind visitedKind, auto &objects) {
+        if (visitedKind == kind) {
             objects.erase(name);
         }
     });
 }
 
 template<std::size_t Index = 0>
-auto makeAt(std::size_t index) -> configuration_object
+auto makeAlternative(std::size_t index) -> configuration_object
 {
     if constexpr (Index + 1 < std::variant_size_v<configuration_object>) {
         if (index != Index) {
-            return makeAt<Index + 1>(index);
+            return makeAlternative<Index + 1>(index);
         }
     }
     return configuration_object(std::in_place_index<Index>);
@@ -49,7 +49,7 @@
 
 auto makeObject(object_kind kind) -> configuration_object
 {
-    return makeAt(static_cast<std::size_t>(kind));
+    return makeAlternative(static_cast<std::size_t>(kind));
 }
 
 auto applyOperations(const configuration &before, const configuration_change &change) -> configuration
@@ -61,7 +61,7 @@
         if (operation.operation == operation_kind::remove) {
             removeObject(after, operation.kind, operation.name);
         } else {
-            putObject(after, operation.object, object_id{ (change.sequence << indexBits) | index });
+            putObject(after, operation.object, object_id{ (change.sequence << operationIndexBits) | index });
         }
         ++index;
     }
--- a/src/contract/configuration_check.cpp
+++ b/src/contract/configuration_check.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr auto hashDigits = std::size_t(64);
+constexpr auto sha256HexDigits = std::size_t(64);
 
-/// Collects the problems of one configuration.
+/// Checks all objects of one configuration and collects the problems.
 class configuration_checker
 {
 public:
@@ -34,7 +34,7 @@
             checkServer(object);
         }
         for (const auto &[name, object] : m_all.plannedStops) {
-            checkStop(object);
+            checkPlannedStop(object);
         }
         return std::move(m_problems);
     }
@@ -46,14 +46,14 @@
     }
 
     template<typename Object>
-    auto checkReference(object_kind kind, const std::string &name, const std::string &key, object_kind wanted,
+    auto checkReference(object_kind kind, const std::string &name, const std::string &key, object_kind targetKind,
                         const std::string &target, const std::map<std::string, Object> &objects) -> void
     {
-        const auto what = std::string(nameOf(wanted));
+        const auto targetKindName = std::string(nameOf(targetKind));
         if (target.empty()) {
-            add(kind, name, key, "is required: the name of a " + what);
+            add(kind, name, key, "is required: the name of a " + targetKindName);
         } else if (!objects.contains(target)) {
-            add(kind, name, key, "there is no " + what + " '" + target + "'");
+            add(kind, name, key, "there is no " + targetKindName + " '" + target + "'");
         }
     }
 
@@ -64,22 +64,22 @@
         }
         for (const auto &hash : account.keyHashes) {
             const auto hexadecimal = hash.find_first_not_of("0123456789abcdef") == std::string::npos;
-            if (hash.size() != hashDigits || !hexadecimal) {
+            if (hash.size() != sha256HexDigits || !hexadecimal) {
                 add(object_kind::clientAccount, account.name, "key_hashes",
                     "a SHA-256 in 64 lower-case hexadecimal digits is expected");
             }
-            const auto [entry, fresh] = m_keyOwners.emplace(hash, account.name);
-            if (!fresh) {
+            const auto [entry, inserted] = m_keyOwners.emplace(hash, account.name);
+            if (!inserted) {
                 add(object_kind::clientAccount, account.name, "key_hashes",
                     "the key is already used by client_account '" + entry->second + "'");
             }
         }
     }
 
-    auto checkProfile(const profile &treatment) -> void
+    auto checkProfile(const profile &checked) -> void
     {
-        if (treatment.maxWait > treatment.timeout) {
-            add(object_kind::profile, treatment.name, "max_wait_ms", "must not be longer than timeout_ms");
+        if (checked.maxWait > checked.timeout) {
+            add(object_kind::profile, checked.name, "max_wait_ms", "must not be longer than timeout_ms");
         }
     }
 
@@ -105,14 +105,14 @@
             add(object_kind::backendServer, server.name, "address", "IP:port is expected");
             return;
         }
-        const auto [entry, fresh] = m_addressOwners.emplace(server.address, server.name);
-        if (!fresh) {
+        const auto [entry, inserted] = m_addressOwners.emplace(server.address, server.name);
+        if (!inserted) {
             add(object_kind::backendServer, server.name, "address",
                 "is already used by backend_server '" + entry->second + "'");
         }
     }
 
-    auto checkStop(const planned_stop &stop) -> void
+    auto checkPlannedStop(const planned_stop &stop) -> void
     {
         checkReference(object_kind::plannedStop, stop.name, "backend_server", object_kind::backendServer,
                        stop.backendServer, m_all.backendServers);
@@ -130,8 +130,9 @@
 auto contains(const configuration &all, object_kind kind, const std::string &name) -> bool
 {
     auto found = false;
-    forEachKind(all,
-                [&](object_kind at, const auto &objects) { found = found || (at == kind && objects.contains(name)); });
+    forEachKind(all, [&](object_kind visitedKind, const auto &objects) {
+        found = found || (visitedKind == kind && objects.contains(name));
+    });
     return found;
 }
 
@@ -146,14 +147,14 @@
     -> configuration_problems
 {
     auto problems = configuration_problems();
-    if (operations.empty() || operations.size() > operationsPerChange) {
+    if (operations.empty() || operations.size() > maxOperationsPerChange) {
         problems.push_back(
-            { {}, 0, {}, "operations", "1 to " + std::to_string(operationsPerChange) + " operations are allowed" });
+            { {}, 0, {}, "operations", "1 to " + std::to_string(maxOperationsPerChange) + " operations are allowed" });
     }
-    auto named = std::set<std::pair<object_kind, std::string>>();
+    auto seenObjects = std::set<std::pair<object_kind, std::string>>();
     for (const auto &operation : operations) {
         const auto object = std::string(nameOf(operation.kind)) + "/" + operation.name;
-        if (!named.emplace(operation.kind, operation.name).second) {
+        if (!seenObjects.emplace(operation.kind, operation.name).second) {
             problems.push_back({ {}, 0, object, {}, "is named twice in one change" });
         }
         if (operation.operation == operation_kind::remove && !contains(before, operation.kind, operation.name)) {
--- a/src/contract/configuration_codec.cpp
+++ b/src/contract/configuration_codec.cpp
@@ -59,17 +59,17 @@
 }
 
 template<typename Object>
-auto readIdentified(const json::value &row, object_kind kind, std::map<std::string, Object> &objects,
-                    configuration_problems &problems) -> void
+auto readObjectWithId(const json::value &element, object_kind kind, std::map<std::string, Object> &objects,
+                      configuration_problems &problems) -> void
 {
-    if (!row.is_object()) {
+    if (!element.is_object()) {
         problems.push_back({ {}, 0, std::string(nameOf(kind)), {}, "not a JSON object" });
         return;
     }
-    auto read = objectFromJson(kind, row.get_object(), unknown_keys::ignored, problems);
+    auto read = objectFromJson(kind, element.get_object(), unknown_keys::ignored, problems);
     if (read) {
         auto object = std::get<Object>(std::move(*read));
-        object.id.value = numberAt<std::uint64_t>(row.get_object(), "id").value_or(0);
+        object.id.value = numberAt<std::uint64_t>(element.get_object(), "id").value_or(0);
         const auto name = object.name;
         objects.insert_or_assign(name, std::move(object));
     }
@@ -77,19 +77,19 @@
 
 auto readOperations(const json::object &json, configuration_change &change, configuration_problems &problems) -> void
 {
-    const auto *rows = json.if_contains("operations");
-    if (rows == nullptr || !rows->is_array()) {
+    const auto *elements = json.if_contains("operations");
+    if (elements == nullptr || !elements->is_array()) {
         problems.push_back({ {}, 0, {}, "operations", "a list is expected" });
         return;
     }
-    for (const auto &row : rows->get_array()) {
-        auto operation =
-            row.is_object() ? operationFromJson(row.get_object(), unknown_keys::ignored, problems) : std::nullopt;
+    for (const auto &element : elements->get_array()) {
+        auto operation = element.is_object() ? operationFromJson(element.get_object(), unknown_keys::ignored, problems)
+                                             : std::nullopt;
         if (operation) {
             change.operations.push_back(std::move(*operation));
         }
     }
-    if (change.operations.size() != rows->get_array().size() && problems.empty()) {
+    if (change.operations.size() != elements->get_array().size() && problems.empty()) {
         problems.push_back({ {}, 0, {}, "operations", "an operation is malformed" });
     }
 }
@@ -116,7 +116,7 @@
     auto out = json::object();
     out["name"] = nameOf(object);
     auto writer = field_writer(out);
-    std::visit([&](const auto &held) { visitFields(writer, held); }, object);
+    std::visit([&](const auto &alternative) { visitFields(writer, alternative); }, object);
     return out;
 }
 
@@ -205,13 +205,13 @@
     auto out = json::object();
     out["sequence"] = all.sequence;
     forEachKind(all, [&](object_kind kind, const auto &objects) {
-        auto rows = json::array();
+        auto elements = json::array();
         for (const auto &[name, object] : objects) {
-            auto row = toJson(configuration_object(object));
-            row["id"] = object.id.value;
-            rows.push_back(std::move(row));
+            auto element = toJson(configuration_object(object));
+            element["id"] = object.id.value;
+            elements.push_back(std::move(element));
         }
-        out[nameOf(kind)] = std::move(rows);
+        out[nameOf(kind)] = std::move(elements);
     });
     return out;
 }
@@ -227,12 +227,12 @@
     }
     all.sequence = *sequence;
     forEachKind(all, [&](object_kind kind, auto &objects) {
-        const auto *rows = json.if_contains(nameOf(kind));
-        if (rows == nullptr || !rows->is_array()) {
+        const auto *elements = json.if_contains(nameOf(kind));
+        if (elements == nullptr || !elements->is_array()) {
             return;
         }
-        for (const auto &row : rows->get_array()) {
-            readIdentified(row, kind, objects, problems);
+        for (const auto &element : elements->get_array()) {
+            readObjectWithId(element, kind, objects, problems);
         }
     });
     return problems.size() == before ? std::optional(std::move(all)) : std::nullopt;
@@ -249,8 +249,8 @@
 {
     auto sequence = std::uint64_t(0);
     const auto parsed = std::from_chars(name.data(), name.data() + name.size(), sequence);
-    const auto whole = parsed.ec == std::errc() && parsed.ptr == name.data() + name.size();
-    return whole && name.size() >= changeNameDigits && sequence > 0 ? std::optional(sequence) : std::nullopt;
+    const auto valid = parsed.ec == std::errc() && parsed.ptr == name.data() + name.size();
+    return valid && name.size() >= changeNameDigits && sequence > 0 ? std::optional(sequence) : std::nullopt;
 }
 
 } // namespace marjoramloom
--- a/src/contract/configuration_file.cpp
+++ b/src/contract/configuration_file.cpp
@@ -17,17 +17,18 @@
 constexpr auto timeSuffix = std::string_view("_unix_ms");
 constexpr auto millisecondsPerMinute = std::int64_t(60'000);
 
-auto toUnixMs(const toml::date_time &when) -> std::int64_t
+auto toUnixMs(const toml::date_time &dateTime) -> std::int64_t
 {
-    const auto day = std::chrono::sys_days(std::chrono::year(when.date.year) / when.date.month / when.date.day);
-    const auto time = std::chrono::hours(when.time.hour) + std::chrono::minutes(when.time.minute)
-        + std::chrono::seconds(when.time.second) + std::chrono::nanoseconds(when.time.nanosecond);
-    const auto whole = std::chrono::duration_cast<std::chrono::milliseconds>(day.time_since_epoch() + time);
-    const auto offset = when.offset ? when.offset->minutes : 0;
-    return whole.count() - offset * millisecondsPerMinute;
+    const auto day =
+        std::chrono::sys_days(std::chrono::year(dateTime.date.year) / dateTime.date.month / dateTime.date.day);
+    const auto time = std::chrono::hours(dateTime.time.hour) + std::chrono::minutes(dateTime.time.minute)
+        + std::chrono::seconds(dateTime.time.second) + std::chrono::nanoseconds(dateTime.time.nanosecond);
+    const auto localTime = std::chrono::duration_cast<std::chrono::milliseconds>(day.time_since_epoch() + time);
+    const auto offset = dateTime.offset ? dateTime.offset->minutes : 0;
+    return localTime.count() - offset * millisecondsPerMinute;
 }
 
-/// Turns the tables of one file into objects.
+/// Reads the configuration objects of one parsed TOML file.
 class object_file_reader
 {
 public:
@@ -37,7 +38,7 @@
     {
     }
 
-    auto read(const toml::table &root) -> std::vector<placed_object>
+    auto read(const toml::table &root) -> std::vector<located_object>
     {
         for (const auto &[key, node] : root) {
             const auto kind = parseEnum<object_kind>(key.str());
@@ -45,14 +46,14 @@
                 add(lineOf(node), {}, std::string(key.str()), "unknown kind; known are " + kinds());
                 continue;
             }
-            const auto *rows = node.as_array();
-            if (rows == nullptr) {
+            const auto *elements = node.as_array();
+            if (elements == nullptr) {
                 add(lineOf(node), {}, std::string(key.str()),
                     "a table in double brackets, [[" + std::string(key.str()) + "]], is expected");
                 continue;
             }
-            for (const auto &row : *rows) {
-                readRow(*kind, row);
+            for (const auto &element : *elements) {
+                readObjectTable(*kind, element);
             }
         }
         std::stable_sort(m_objects.begin(), m_objects.end(),
@@ -69,8 +70,8 @@
     static auto kinds() -> std::string
     {
         auto text = std::string();
-        for (const auto &row : enum_names<object_kind>::table) {
-            text += (text.empty() ? "" : ", ") + std::string(row.name);
+        for (const auto &element : enum_names<object_kind>::table) {
+            text += (text.empty() ? "" : ", ") + std::string(element.name);
         }
         return text;
     }
@@ -80,39 +81,39 @@
         m_problems.push_back({ m_file, line, std::move(object), std::move(key), std::move(text) });
     }
 
-    auto readRow(object_kind kind, const toml::node &row) -> void
+    auto readObjectTable(object_kind kind, const toml::node &element) -> void
     {
-        const auto *table = row.as_table();
+        const auto *table = element.as_table();
         if (table == nullptr) {
-            add(lineOf(row), std::string(nameOf(kind)), {}, "a table is expected");
+            add(lineOf(element), std::string(nameOf(kind)), {}, "a table is expected");
             return;
         }
-        auto placed = placed_object{ .object = {}, .file = m_file, .line = lineOf(row), .keyLines = {} };
+        auto located = located_object{ .object = {}, .file = m_file, .line = lineOf(element), .keyLines = {} };
         const auto before = m_problems.size();
-        const auto body = toJson(kind, *table, placed);
-        auto found = configuration_problems();
-        auto object = objectFromJson(kind, body, unknown_keys::refused, found);
-        for (auto &problem : found) {
+        const auto body = toJson(kind, *table, located);
+        auto objectProblems = configuration_problems();
+        auto object = objectFromJson(kind, body, unknown_keys::refused, objectProblems);
+        for (auto &problem : objectProblems) {
             problem.file = m_file;
-            const auto at = placed.keyLines.find(problem.key);
-            problem.line = at == placed.keyLines.end() ? placed.line : at->second;
+            const auto keyLine = located.keyLines.find(problem.key);
+            problem.line = keyLine == located.keyLines.end() ? located.line : keyLine->second;
             m_problems.push_back(std::move(problem));
         }
         if (object && m_problems.size() == before) {
-            placed.object = std::move(*object);
-            m_objects.push_back(std::move(placed));
+            located.object = std::move(*object);
+            m_objects.push_back(std::move(located));
         }
     }
 
-    auto toJson(object_kind kind, const toml::table &table, placed_object &placed) -> json::object
+    auto toJson(object_kind kind, const toml::table &table, located_object &located) -> json::object
     {
         auto out = json::object();
         for (const auto &[key, node] : table) {
             auto name = std::string(key.str());
-            placed.keyLines[name] = lineOf(node);
+            located.keyLines[name] = lineOf(node);
             if (node.is_date_time()) {
                 name += timeSuffix;
-                placed.keyLines[name] = lineOf(node);
+                located.keyLines[name] = lineOf(node);
             }
             auto value = toValue(node);
             if (value) {
@@ -138,18 +139,18 @@
         if (const auto *flag = node.as_boolean()) {
             return json::value(flag->get());
         }
-        if (const auto *when = node.as_date_time()) {
-            return when->get().offset ? std::optional(json::value(toUnixMs(when->get()))) : std::nullopt;
+        if (const auto *dateTime = node.as_date_time()) {
+            return dateTime->get().offset ? std::optional(json::value(toUnixMs(dateTime->get()))) : std::nullopt;
         }
-        const auto *rows = node.as_array();
-        return rows == nullptr ? std::nullopt : toArray(*rows);
+        const auto *elements = node.as_array();
+        return elements == nullptr ? std::nullopt : toArray(*elements);
     }
 
-    static auto toArray(const toml::array &rows) -> std::optional<json::value>
+    static auto toArray(const toml::array &elements) -> std::optional<json::value>
     {
         auto out = json::array();
-        for (const auto &row : rows) {
-            auto value = toValue(row);
+        for (const auto &element : elements) {
+            auto value = toValue(element);
             if (!value) {
                 return std::nullopt;
             }
@@ -160,10 +161,10 @@
 
     const std::string &m_file;
     configuration_problems &m_problems;
-    std::vector<placed_object> m_objects;
+    std::vector<located_object> m_objects;
 };
 
-auto tomlText(const json::value &value) -> std::string
+auto toTomlValue(const json::value &value) -> std::string
 {
     return json::serialize(value);
 }
@@ -171,7 +172,7 @@
 } // namespace
 
 auto parseObjects(const std::string &text, const std::string &file, configuration_problems &problems)
-    -> std::vector<placed_object>
+    -> std::vector<located_object>
 {
     try {
         const auto root = toml::parse(text, file);
@@ -182,7 +183,7 @@
     }
 }
 
-auto loadObjects(const std::string &path, configuration_problems &problems) -> std::vector<placed_object>
+auto loadObjects(const std::string &path, configuration_problems &problems) -> std::vector<located_object>
 {
     auto in = std::ifstream(path);
     if (!in) {
@@ -194,20 +195,20 @@
     return parseObjects(text.str(), path, problems);
 }
 
-auto placeProblems(const std::vector<placed_object> &objects, configuration_problems &problems) -> void
+auto locateProblems(const std::vector<located_object> &objects, configuration_problems &problems) -> void
 {
     for (auto &problem : problems) {
         if (!problem.file.empty()) {
             continue;
         }
-        for (const auto &placed : objects) {
-            const auto name = std::string(nameOf(kindOf(placed.object))) + "/" + nameOf(placed.object);
+        for (const auto &located : objects) {
+            const auto name = std::string(nameOf(kindOf(located.object))) + "/" + nameOf(located.object);
             if (name != problem.object) {
                 continue;
             }
-            const auto at = placed.keyLines.find(problem.key);
-            problem.file = placed.file;
-            problem.line = at == placed.keyLines.end() ? placed.line : at->second;
+            const auto keyLine = located.keyLines.find(problem.key);
+            problem.file = located.file;
+            problem.line = keyLine == located.keyLines.end() ? located.line : keyLine->second;
         }
     }
 }
@@ -221,7 +222,7 @@
             key.resize(key.size() - timeSuffix.size());
             text += key + " = " + formatTime(entry.value().to_number<std::int64_t>()) + "\n";
         } else {
-            text += key + " = " + tomlText(entry.value()) + "\n";
+            text += key + " = " + toTomlValue(entry.value()) + "\n";
         }
     }
     return text;
@@ -231,9 +232,9 @@
 {
     try {
         const auto root = toml::parse("time = " + text);
-        const auto *when = root["time"].as_date_time();
-        const auto whole = root.size() == 1 && when != nullptr && when->get().offset;
-        return whole ? std::optional(toUnixMs(when->get())) : std::nullopt;
+        const auto *dateTime = root["time"].as_date_time();
+        const auto valid = root.size() == 1 && dateTime != nullptr && dateTime->get().offset;
+        return valid ? std::optional(toUnixMs(dateTime->get())) : std::nullopt;
     } catch (const toml::parse_error &) {
         return std::nullopt;
     }
@@ -241,10 +242,10 @@
 
 auto formatTime(std::int64_t unixMs) -> std::string
 {
-    const auto whole = std::chrono::milliseconds(unixMs);
-    const auto days = std::chrono::floor<std::chrono::days>(whole);
+    const auto sinceEpoch = std::chrono::milliseconds(unixMs);
+    const auto days = std::chrono::floor<std::chrono::days>(sinceEpoch);
     const auto date = std::chrono::year_month_day(std::chrono::sys_days(days));
-    const auto time = std::chrono::hh_mm_ss(whole - days);
+    const auto time = std::chrono::hh_mm_ss(sinceEpoch - days);
     auto text = std::array<char, 64>{};
     std::snprintf(text.data(), text.size(), "%04d-%02u-%02uT%02d:%02d:%02d.%03dZ", int(date.year()),
                   unsigned(date.month()), unsigned(date.day()), int(time.hours().count()), int(time.minutes().count()),
--- a/src/contract/configuration_store.cpp
+++ b/src/contract/configuration_store.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr auto keptChanges = std::size_t(2'048);
-constexpr auto keptBytes = std::size_t(8) << 20U;
+constexpr auto maxRecentChanges = std::size_t(2'048);
+constexpr auto maxRecentBytes = std::size_t(8) << 20U;
 constexpr auto snapshotPrefix = std::string_view(R"({"snapshot":)");
 
 auto summaryOf(const configuration_change &change) -> change_summary
@@ -42,8 +42,8 @@
 } // namespace
 
 configuration_store::configuration_store(counter_registry &counters)
-    : m_applied(counters.at("marjoramloom_configuration_changes_total"))
-    , m_steppedOver(counters.at("marjoramloom_configuration_stepped_over_total"))
+    : m_appliedChanges(counters.at("marjoramloom_configuration_changes_total"))
+    , m_skippedChanges(counters.at("marjoramloom_configuration_stepped_over_total"))
     , m_cell(std::make_shared<const configuration>())
 {
 }
@@ -53,7 +53,7 @@
     const auto lock = std::lock_guard(m_applyMutex);
     const auto current = m_sequence.load(std::memory_order_acquire);
     if (sequence <= current) {
-        return offer_result::known;
+        return offer_result::alreadyApplied;
     }
     if (value.starts_with(snapshotPrefix)) {
         return applySnapshot(sequence, value, source);
@@ -83,9 +83,9 @@
         }
     }
     if (!problems.empty()) {
-        stepOver(sequence, problems.front().message());
+        reportSkippedChange(sequence, problems.front().message());
     }
-    keep({ sequence, value }, std::move(summary));
+    addRecentChange({ sequence, value }, std::move(summary));
     publish(std::move(next), source);
 }
 
@@ -97,8 +97,8 @@
         return offer_result::malformed;
     }
     {
-        const auto lock = std::lock_guard(m_keptMutex);
-        m_kept.clear();
+        const auto lock = std::lock_guard(m_recentChangesMutex);
+        m_recentChanges.clear();
     }
     publish(std::move(*next), source);
     return offer_result::applied;
@@ -110,30 +110,30 @@
     const auto shared = std::make_shared<const configuration>(std::move(next));
     m_cell.publish(shared);
     m_sequence.store(sequence, std::memory_order_release);
-    m_applied.add();
+    m_appliedChanges.add();
     log_line(log_level::info, "configuration").with("sequence", sequence).with("source", nameOf(source));
-    for (const auto &called : m_listeners) {
-        called(shared);
+    for (const auto &callback : m_listeners) {
+        callback(shared);
     }
 }
 
-auto configuration_store::stepOver(std::uint64_t sequence, const std::string &problem) -> void
+auto configuration_store::reportSkippedChange(std::uint64_t sequence, const std::string &problem) -> void
 {
-    m_steppedOver.add();
+    m_skippedChanges.add();
     log_line(log_level::error, "configuration_stepped_over").with("sequence", sequence).with("problem", problem);
 }
 
-auto configuration_store::keep(relayed_change change, change_summary summary) -> void
+auto configuration_store::addRecentChange(relayed_change change, change_summary summary) -> void
 {
-    const auto lock = std::lock_guard(m_keptMutex);
-    m_kept.push_back({ std::move(change), std::move(summary) });
+    const auto lock = std::lock_guard(m_recentChangesMutex);
+    m_recentChanges.push_back({ std::move(change), std::move(summary) });
     auto bytes = std::size_t(0);
-    for (const auto &kept : m_kept) {
-        bytes += kept.change.value.size();
+    for (const auto &recent : m_recentChanges) {
+        bytes += recent.change.value.size();
     }
-    while (m_kept.size() > keptChanges || (bytes > keptBytes && m_kept.size() > 1)) {
-        bytes -= m_kept.front().change.value.size();
-        m_kept.pop_front();
+    while (m_recentChanges.size() > maxRecentChanges || (bytes > maxRecentBytes && m_recentChanges.size() > 1)) {
+        bytes -= m_recentChanges.front().change.value.size();
+        m_recentChanges.pop_front();
     }
 }
 
@@ -141,11 +141,11 @@
 {
     auto changes = std::vector<relayed_change>();
     {
-        const auto lock = std::lock_guard(m_keptMutex);
-        const auto complete = !m_kept.empty() && m_kept.front().change.sequence <= sequence + 1;
-        for (const auto &kept : m_kept) {
-            if (complete && kept.change.sequence > sequence && changes.size() < limit) {
-                changes.push_back(kept.change);
+        const auto lock = std::lock_guard(m_recentChangesMutex);
+        const auto complete = !m_recentChanges.empty() && m_recentChanges.front().change.sequence <= sequence + 1;
+        for (const auto &recent : m_recentChanges) {
+            if (complete && recent.change.sequence > sequence && changes.size() < limit) {
+                changes.push_back(recent.change);
             }
         }
     }
@@ -157,11 +157,11 @@
 
 auto configuration_store::summariesAfter(std::uint64_t sequence) const -> std::vector<change_summary>
 {
-    const auto lock = std::lock_guard(m_keptMutex);
+    const auto lock = std::lock_guard(m_recentChangesMutex);
     auto summaries = std::vector<change_summary>();
-    for (const auto &kept : m_kept) {
-        if (kept.summary.sequence > sequence) {
-            summaries.push_back(kept.summary);
+    for (const auto &recent : m_recentChanges) {
+        if (recent.summary.sequence > sequence) {
+            summaries.push_back(recent.summary);
         }
     }
     return summaries;
@@ -169,10 +169,10 @@
 
 auto configuration_store::findChange(const std::string &id) const -> std::optional<std::uint64_t>
 {
-    const auto lock = std::lock_guard(m_keptMutex);
-    for (const auto &kept : m_kept) {
-        if (!id.empty() && kept.summary.id == id) {
-            return kept.summary.sequence;
+    const auto lock = std::lock_guard(m_recentChangesMutex);
+    for (const auto &recent : m_recentChanges) {
+        if (!id.empty() && recent.summary.id == id) {
+            return recent.summary.sequence;
         }
     }
     return std::nullopt;
@@ -184,10 +184,10 @@
     return { all->sequence, std::string(snapshotPrefix) + json::serialize(toJson(*all)) + "}" };
 }
 
-auto configuration_store::addListener(listener added) -> void
+auto configuration_store::addListener(listener callback) -> void
 {
     const auto lock = std::lock_guard(m_applyMutex);
-    m_listeners.push_back(std::move(added));
+    m_listeners.push_back(std::move(callback));
 }
 
 auto configuration_store::noteLoaded() -> void
@@ -195,16 +195,17 @@
     m_loaded.store(true, std::memory_order_release);
 }
 
-auto configuration_store::noteAnnounced(std::uint64_t sequence) -> void
+auto configuration_store::notePeerSequence(std::uint64_t sequence) -> void
 {
-    auto highest = m_announced.load(std::memory_order_relaxed);
-    while (sequence > highest && !m_announced.compare_exchange_weak(highest, sequence, std::memory_order_relaxed)) {}
+    auto highest = m_highestPeerSequence.load(std::memory_order_relaxed);
+    while (sequence > highest
+           && !m_highestPeerSequence.compare_exchange_weak(highest, sequence, std::memory_order_relaxed)) {}
 }
 
-auto configuration_store::isCurrent() const -> bool
+auto configuration_store::isUpToDate() const -> bool
 {
     const auto loaded = m_loaded.load(std::memory_order_acquire) || sequence() > 0;
-    return loaded && sequence() >= m_announced.load(std::memory_order_relaxed);
+    return loaded && sequence() >= m_highestPeerSequence.load(std::memory_order_relaxed);
 }
 
 } // namespace marjoramloom
--- a/src/contract/field_reader.h
+++ b/src/contract/field_reader.h
@@ -10,8 +10,8 @@
 
 namespace marjoramloom {
 
-/// Reads the keys of an object from JSON and adds a problem for each value that is wrong. Keys that are absent keep
-/// their defaults.
+/// Reads the fields of an object from JSON and adds a problem for each value that is not valid. Fields that are absent
+/// keep their defaults.
 class field_reader
 {
 public:
@@ -19,16 +19,16 @@
         : m_json(json)
         , m_object(std::move(object))
         , m_problems(problems)
-        , m_known{ "name", "id" }
+        , m_knownKeys{ "name", "id" }
     {
     }
 
-    /// Names are path segments and label values: lower-case letters, digits, '.', '_' and '-'.
+    /// Names are used as path segments and label values. They consist of lower-case letters, digits, '.', '_' and '-'.
     auto checkName(const std::string &name) -> void
     {
-        constexpr auto longest = std::size_t(63);
+        constexpr auto maxLength = std::size_t(63);
         const auto allowed = "abcdefghijklmnopqrstuvwxyz0123456789._-";
-        const auto wellFormed = !name.empty() && name.size() <= longest && name.front() != '.' && name.front() != '-'
+        const auto wellFormed = !name.empty() && name.size() <= maxLength && name.front() != '.' && name.front() != '-'
             && name.find_first_not_of(allowed) == std::string::npos;
         if (!wellFormed) {
             add("name", "1 to 63 characters of a-z, 0-9, '.', '_' and '-' are expected, not starting with '.' or '-'");
@@ -37,96 +37,97 @@
 
     auto text(std::string_view key, std::string &value) -> void
     {
-        const auto *found = find(key);
-        if (found == nullptr) {
+        const auto *field = findField(key);
+        if (field == nullptr) {
             return;
         }
-        if (!found->is_string()) {
+        if (!field->is_string()) {
             add(key, "text is expected");
             return;
         }
-        value = boost::json::value_to<std::string>(*found);
+        value = boost::json::value_to<std::string>(*field);
     }
 
-    auto texts(std::string_view key, std::vector<std::string> &values) -> void
+    auto textList(std::string_view key, std::vector<std::string> &values) -> void
     {
-        const auto *found = find(key);
-        if (found == nullptr) {
+        const auto *field = findField(key);
+        if (field == nullptr) {
             return;
         }
         values.clear();
-        const auto isText = [](const auto &row) {
-            return row.is_string();
+        const auto isText = [](const auto &element) {
+            return element.is_string();
         };
-        if (!found->is_array() || !std::all_of(found->get_array().begin(), found->get_array().end(), isText)) {
+        if (!field->is_array() || !std::all_of(field->get_array().begin(), field->get_array().end(), isText)) {
             add(key, "a list of text is expected");
             return;
         }
-        for (const auto &row : found->get_array()) {
-            values.push_back(boost::json::value_to<std::string>(row));
+        for (const auto &element : field->get_array()) {
+            values.push_back(boost::json::value_to<std::string>(element));
         }
     }
 
     template<typename Number, typename Limit>
     auto number(std::string_view key, Number &value, value_range<Limit> range) -> void
     {
-        const auto *found = find(key);
-        if (found == nullptr) {
+        const auto *field = findField(key);
+        if (field == nullptr) {
             return;
         }
         auto error = boost::system::error_code();
-        const auto read = found->is_number() ? found->to_number<Limit>(error) : Limit();
-        if (!found->is_number() || error) {
+        const auto parsed = field->is_number() ? field->to_number<Limit>(error) : Limit();
+        if (!field->is_number() || error) {
             add(key, std::is_floating_point_v<Limit> ? "a number is expected" : "a whole number is expected");
-        } else if (!(read >= range.least && read <= range.most)) {
+        } else if (!(parsed >= range.minimum && parsed <= range.maximum)) {
             auto text = std::ostringstream();
-            text << read << " is out of range; " << range.least << " to " << range.most << " is allowed";
+            text << parsed << " is out of range; " << range.minimum << " to " << range.maximum << " is allowed";
             add(key, text.str());
         } else {
-            value = Number(read);
+            value = Number(parsed);
         }
     }
 
     auto flag(std::string_view key, bool &value) -> void
     {
-        const auto *found = find(key);
-        if (found != nullptr && !found->is_bool()) {
+        const auto *field = findField(key);
+        if (field != nullptr && !field->is_bool()) {
             add(key, "true or false is expected");
-        } else if (found != nullptr) {
-            value = found->get_bool();
+        } else if (field != nullptr) {
+            value = field->get_bool();
         }
     }
 
     template<named_enum Enum>
     auto choice(std::string_view key, Enum &value) -> void
     {
-        const auto *found = find(key);
-        if (found == nullptr) {
+        const auto *field = findField(key);
+        if (field == nullptr) {
             return;
         }
-        const auto name = found->is_string() ? boost::json::value_to<std::string>(*found) : std::string();
-        const auto read = parseEnum<Enum>(name);
-        if (!read) {
+        const auto name = field->is_string() ? boost::json::value_to<std::string>(*field) : std::string();
+        const auto parsed = parseEnum<Enum>(name);
+        if (!parsed) {
             add(key, "one of " + choices<Enum>() + " is expected");
             return;
         }
-        value = *read;
+        value = *parsed;
     }
 
-    /// Adds a problem for each key that was not read.
+    /// Adds a problem for each key that no field has.
     auto refuseUnknownKeys() -> void
     {
         for (const auto &entry : m_json) {
-            if (!m_known.contains(std::string(entry.key()))) {
+            if (!m_knownKeys.contains(std::string(entry.key()))) {
                 add(entry.key(), "unknown key; known are " + knownKeys());
             }
         }
     }
 
 private:
-    auto find(std::string_view key) -> const boost::json::value *
+    /// Returns the value of \p key, or null if it is absent. Adds \p key to the known keys.
+    auto findField(std::string_view key) -> const boost::json::value *
     {
-        m_known.emplace(key);
+        m_knownKeys.emplace(key);
         return m_json.if_contains(key);
     }
 
@@ -138,7 +139,7 @@
     auto knownKeys() const -> std::string
     {
         auto text = std::string();
-        for (const auto &key : m_known) {
+        for (const auto &key : m_knownKeys) {
             text += key == "id" ? "" : (text.empty() ? "" : ", ") + key;
         }
         return text;
@@ -148,8 +149,8 @@
     static auto choices() -> std::string
     {
         auto text = std::string();
-        for (const auto &row : enum_names<Enum>::table) {
-            text += (text.empty() ? "" : ", ") + std::string(row.name);
+        for (const auto &element : enum_names<Enum>::table) {
+            text += (text.empty() ? "" : ", ") + std::string(element.name);
         }
         return text;
     }
@@ -157,7 +158,7 @@
     const boost::json::object &m_json;
     std::string m_object;
     configuration_problems &m_problems;
-    std::set<std::string> m_known;
+    std::set<std::string> m_knownKeys;
 };
 
 } // namespace marjoramloom
--- a/src/contract/field_writer.h
+++ b/src/contract/field_writer.h
@@ -6,7 +6,7 @@
 
 namespace marjoramloom {
 
-/// Writes the keys of an object into JSON.
+/// Writes the fields of an object to JSON.
 class field_writer
 {
 public:
@@ -20,7 +20,7 @@
         m_out[key] = value;
     }
 
-    auto texts(std::string_view key, const std::vector<std::string> &values) -> void
+    auto textList(std::string_view key, const std::vector<std::string> &values) -> void
     {
         m_out[key] = boost::json::value_from(values);
     }
--- a/src/contract/object_fields.h
+++ b/src/contract/object_fields.h
@@ -6,23 +6,24 @@
 
 namespace marjoramloom {
 
-/// Range of values that a number may take, both ends included.
+/// Inclusive range of allowed values of a number.
 template<typename Number>
 struct value_range
 {
-    Number least;
-    Number most;
+    Number minimum;
+    Number maximum;
 };
 
-constexpr auto milliseconds24h = std::int64_t(86'400'000);
-constexpr auto anyTime = value_range<std::int64_t>{ 0, std::numeric_limits<std::int64_t>::max() };
+constexpr auto millisecondsPerDay = std::int64_t(86'400'000);
+constexpr auto anyUnixMs = value_range<std::int64_t>{ 0, std::numeric_limits<std::int64_t>::max() };
 
-/// One visitFields per kind of object lists its keys; reading and writing go through it. A visitor has text(key,
-/// value), texts(key, values), number(key, value, range), flag(key, value) and choice(key, value).
+/// The functions below list the fields of each kind of object, for reading as well as writing. A visitor has the
+/// functions text(key, value), textList(key, values), number(key, value, range), flag(key, value) and choice(key,
+/// value).
 template<typename Visitor, typename Object>
 auto visitAccountFields(Visitor &visitor, Object &object) -> void
 {
-    visitor.texts("key_hashes", object.keyHashes);
+    visitor.textList("key_hashes", object.keyHashes);
     visitor.number("weight", object.weight, value_range<double>{ 0.001, 1000 });
     visitor.number("queue_limit", object.queueLimit, value_range<std::int64_t>{ 1, 1'000'000 });
 }
@@ -31,8 +32,8 @@
 auto visitProfileFields(Visitor &visitor, Object &object) -> void
 {
     visitor.choice("length", object.length);
-    visitor.number("max_wait_ms", object.maxWait, value_range<std::int64_t>{ 1, milliseconds24h });
-    visitor.number("timeout_ms", object.timeout, value_range<std::int64_t>{ 1, milliseconds24h });
+    visitor.number("max_wait_ms", object.maxWait, value_range<std::int64_t>{ 1, millisecondsPerDay });
+    visitor.number("timeout_ms", object.timeout, value_range<std::int64_t>{ 1, millisecondsPerDay });
     visitor.number("expected_tokens", object.expectedTokens, value_range<double>{ 1, 10'000'000 });
     visitor.flag("hedge", object.hedge);
     visitor.number("retries", object.retries, value_range<std::int64_t>{ 0, 10 });
@@ -63,22 +64,22 @@
 auto visitStopFields(Visitor &visitor, Object &object) -> void
 {
     visitor.text("backend_server", object.backendServer);
-    visitor.number("at_unix_ms", object.atUnixMs, anyTime);
-    visitor.number("until_unix_ms", object.untilUnixMs, anyTime);
+    visitor.number("at_unix_ms", object.atUnixMs, anyUnixMs);
+    visitor.number("until_unix_ms", object.untilUnixMs, anyUnixMs);
 }
 
-/// Visits the keys of \p object other than its name.
+/// Visits the fields of \p object except its name.
 template<typename Visitor, typename Object>
 auto visitFields(Visitor &visitor, Object &object) -> void
 {
-    using plain = std::remove_const_t<Object>;
-    if constexpr (std::is_same_v<plain, client_account>) {
+    using object_type = std::remove_const_t<Object>;
+    if constexpr (std::is_same_v<object_type, client_account>) {
         visitAccountFields(visitor, object);
-    } else if constexpr (std::is_same_v<plain, profile>) {
+    } else if constexpr (std::is_same_v<object_type, profile>) {
         visitProfileFields(visitor, object);
-    } else if constexpr (std::is_same_v<plain, service>) {
+    } else if constexpr (std::is_same_v<object_type, service>) {
         visitServiceFields(visitor, object);
-    } else if constexpr (std::is_same_v<plain, backend_server>) {
+    } else if constexpr (std::is_same_v<object_type, backend_server>) {
         visitServerFields(visitor, object);
     } else {
         visitStopFields(visitor, object);
--- a/src/contract/operator_api.cpp
+++ b/src/contract/operator_api.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-constexpr auto idLimit = std::size_t(64);
+constexpr auto maxIdLength = std::size_t(64);
 
 auto toJson(const configuration_problems &problems) -> json::array
 {
-    auto rows = json::array();
+    auto elements = json::array();
     for (const auto &problem : problems) {
-        rows.push_back(json::object{ { "object", problem.object }, { "key", problem.key }, { "text", problem.text } });
+        elements.push_back(
+            json::object{ { "object", problem.object }, { "key", problem.key }, { "text", problem.text } });
     }
-    return rows;
+    return elements;
 }
 
 auto textAt(const json::object &object, std::string_view key) -> std::string
@@ -23,22 +24,22 @@
     return value != nullptr && value->is_string() ? json::value_to<std::string>(*value) : std::string();
 }
 
-auto readOperations(const json::value *rows, proposed_change &proposal, configuration_problems &problems) -> void
+auto readOperations(const json::value *elements, proposed_change &proposal, configuration_problems &problems) -> void
 {
-    if (rows == nullptr || !rows->is_array() || rows->get_array().size() > operationsPerChange) {
+    if (elements == nullptr || !elements->is_array() || elements->get_array().size() > maxOperationsPerChange) {
         problems.push_back({ {},
                              0,
                              {},
                              "operations",
-                             "a list of 1 to " + std::to_string(operationsPerChange) + " operations is expected" });
+                             "a list of 1 to " + std::to_string(maxOperationsPerChange) + " operations is expected" });
         return;
     }
-    for (const auto &row : rows->get_array()) {
-        if (!row.is_object()) {
+    for (const auto &element : elements->get_array()) {
+        if (!element.is_object()) {
             problems.push_back({ {}, 0, {}, "operations", "an object is expected" });
             continue;
         }
-        auto operation = operationFromJson(row.get_object(), unknown_keys::refused, problems);
+        auto operation = operationFromJson(element.get_object(), unknown_keys::refused, problems);
         if (operation) {
             proposal.operations.push_back(std::move(*operation));
         }
@@ -84,10 +85,10 @@
     auto proposal = proposed_change();
     proposal.id = textAt(body, "id");
     proposal.author = textAt(body, "author");
-    if (proposal.id.empty() || proposal.id.size() > idLimit) {
+    if (proposal.id.empty() || proposal.id.size() > maxIdLength) {
         problems.push_back({ {}, 0, {}, "id", "a text of 1 to 64 characters is expected" });
     }
-    if (proposal.author.empty() || proposal.author.size() > idLimit) {
+    if (proposal.author.empty() || proposal.author.size() > maxIdLength) {
         problems.push_back({ {}, 0, {}, "author", "a text of 1 to 64 characters is expected" });
     }
     const auto *base = body.if_contains("base_sequence");
@@ -113,15 +114,15 @@
 
 auto toJson(const std::vector<change_summary> &summaries) -> json::array
 {
-    auto rows = json::array();
+    auto elements = json::array();
     for (const auto &summary : summaries) {
-        rows.push_back(json::object{ { "sequence", summary.sequence },
-                                     { "id", summary.id },
-                                     { "author", summary.author },
-                                     { "unix_ms", summary.unixMs },
-                                     { "objects", json::value_from(summary.objects) } });
+        elements.push_back(json::object{ { "sequence", summary.sequence },
+                                         { "id", summary.id },
+                                         { "author", summary.author },
+                                         { "unix_ms", summary.unixMs },
+                                         { "objects", json::value_from(summary.objects) } });
     }
-    return rows;
+    return elements;
 }
 
 auto toResponse(const commit_outcome &outcome, const last_reason &why) -> operator_response
@@ -131,7 +132,7 @@
         body["error"] = errorBody(why);
     }
     if (outcome.result == commit_result::conflict) {
-        body["changes"] = toJson(outcome.others);
+        body["changes"] = toJson(outcome.concurrentChanges);
     }
     if (outcome.result == commit_result::invalid) {
         body["problems"] = toJson(outcome.problems);
--- a/src/contract/snapshot_store.cpp
+++ b/src/contract/snapshot_store.cpp
@@ -16,8 +16,8 @@
     const auto &body = root.get_object();
     const auto number = [&](std::string_view key) {
         const auto *value = body.if_contains(key);
-        const auto read = value != nullptr && value->is_number() ? value->to_number<std::uint64_t>(error) : 0;
-        return error ? 0 : read;
+        const auto parsed = value != nullptr && value->is_number() ? value->to_number<std::uint64_t>(error) : 0;
+        return error ? 0 : parsed;
     };
     const auto *nonce = body.if_contains("nonce");
     auto head =
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -165,8 +165,8 @@
     , operators(store, changes)
     , operatorRequests(operators, counters, ready, config.operatorKeyHash)
 {
-    operators.addSource("/v1/status", [this] { return status.json(); });
-    operators.addSource("/v1/orders", [this] { return orders.openOrders(); });
+    operators.addGetHandler("/v1/status", [this] { return status.json(); });
+    operators.addGetHandler("/v1/orders", [this] { return orders.openOrders(); });
     calls.dataCentre = config.dataCentre;
     calls.connections = &connections;
     calls.retries = &retries;
@@ -228,7 +228,7 @@
 
 auto router_process::parts::refreshReadiness() -> void
 {
-    const auto now = !draining && store.isCurrent();
+    const auto now = !draining && store.isUpToDate();
     if (now != ready) {
         log_line(log_level::info, "readiness").with("ready", now ? "yes" : "no");
     }
@@ -243,9 +243,9 @@
     constexpr auto watchers = std::size_t(2);
     const auto order = rankRoleCandidates(links.members(), { role_kind::watcher, config.dataCentre, "" });
     const auto end = order.begin() + static_cast<std::ptrdiff_t>(std::min(watchers, order.size()));
-    compactor.setOnDuty(!order.empty() && order.front().incarnation == self.incarnation);
-    watcher.setOnDuty(std::any_of(order.begin(), end,
-                                  [this](const member &holder) { return holder.incarnation == self.incarnation; }));
+    compactor.setDesignated(!order.empty() && order.front().incarnation == self.incarnation);
+    watcher.setDesignated(std::any_of(order.begin(), end,
+                                      [this](const member &holder) { return holder.incarnation == self.incarnation; }));
 }
 
 auto router_process::parts::tickLoop() -> asio::awaitable<void>
--- a/tests/process/contract/configuration_faults_test.cpp
+++ b/tests/process/contract/configuration_faults_test.cpp
@@ -10,14 +10,15 @@
 
 namespace {
 
-constexpr auto inForceMs = 5'000; ///< The users' bound for an accepted configuration at today's sizes.
-constexpr auto startMs = 20'000;
+constexpr auto propagationLimitMs = 5'000; ///< Users' limit until a change is active on all routers, at current sizes.
+constexpr auto startTimeoutMs = 20'000;
 
 auto profileText(const std::string &name, int retries = 2) -> std::string
 {
     return "[[profile]]\nname = \"" + name + "\"\nretries = " + std::to_string(retries) + "\n";
 }
 
+/// A fleet without engines and order servers, for tests of the configuration.
 struct configured_fleet
 {
     explicit configured_fleet(int routersEach = 1)
@@ -27,23 +28,24 @@
 
     static auto plan(int routersEach) -> fleet_plan
     {
-        auto made = fleet_plan();
-        made.routersEach = routersEach;
-        made.enginesEach = 0;
-        made.orderServersEach = 0;
-        return made;
+        auto result = fleet_plan();
+        result.routersEach = routersEach;
+        result.enginesEach = 0;
+        result.orderServersEach = 0;
+        return result;
     }
 
-    auto has(std::size_t router, const std::string &profile) -> bool
+    auto hasProfile(std::size_t router, const std::string &profile) -> bool
     {
         return all.command(all.routers()[router], { "get", "profile", profile }) == 0;
     }
 
-    auto everywhere(const std::string &profile, bool present = true) -> bool
+    /// Waits until the profile exists, or does not exist, on all routers. Returns false on timeout.
+    auto allRoutersHave(const std::string &profile, bool present = true) -> bool
     {
-        return waitUntil(inForceMs, [&] {
+        return waitUntil(propagationLimitMs, [&] {
             for (auto router = std::size_t(0); router < all.routers().size(); ++router) {
-                if (has(router, profile) != present) {
+                if (hasProfile(router, profile) != present) {
                     return false;
                 }
             }
@@ -63,7 +65,7 @@
 
 BOOST_AUTO_TEST_SUITE(configuration_faults_test)
 
-BOOST_AUTO_TEST_CASE(racing_operators_are_all_in_force_or_told_of_the_conflict)
+BOOST_AUTO_TEST_CASE(concurrent_changes_are_either_active_or_reported_as_conflict)
 {
     constexpr auto rounds = 6;
     auto fleet = configured_fleet(2);
@@ -89,17 +91,17 @@
             (codes[router] == 0 ? accepted : refused).push_back(nameOf(router));
         }
     }
-    BOOST_TEST_MESSAGE(accepted.size() << " accepted, " << refused.size() << " told of a conflict");
+    BOOST_TEST_MESSAGE(accepted.size() << " accepted, " << refused.size() << " reported as conflict");
     BOOST_TEST(accepted.size() >= std::size_t(rounds));
     for (const auto &name : accepted) {
-        BOOST_TEST(fleet.everywhere(name), name);
+        BOOST_TEST(fleet.allRoutersHave(name), name);
     }
     for (const auto &name : refused) {
-        BOOST_TEST(!fleet.has(0, name), name);
+        BOOST_TEST(!fleet.hasProfile(0, name), name);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_answer_is_accepted_once)
+BOOST_AUTO_TEST_CASE(a_change_with_a_lost_or_delayed_store_answer_is_accepted_once)
 {
     auto fleet = configured_fleet();
     const auto before = fleet.all.sequenceAt(fleet.all.routers()[0]);
@@ -107,50 +109,50 @@
     BOOST_TEST(fleet.all.apply(fleet.all.routers()[0], profileText("lost")) == 0);
     fleet.all.platform().setFaults(R"([{"kind":"land_late","ms":500,"match":"configuration_change/","count":1}])");
     BOOST_TEST(fleet.all.apply(fleet.all.routers()[1], profileText("late")) == 0);
-    BOOST_TEST(fleet.everywhere("lost"));
-    BOOST_TEST(fleet.everywhere("late"));
+    BOOST_TEST(fleet.allRoutersHave("lost"));
+    BOOST_TEST(fleet.allRoutersHave("late"));
     BOOST_TEST(fleet.all.sequenceAt(fleet.all.routers()[0]) == before + 2);
     fleet.all.platform().setFaults(R"([{"kind":"outage"}])");
     BOOST_TEST(fleet.all.apply(fleet.all.routers()[0], profileText("refused")) == 6);
 }
 
-BOOST_AUTO_TEST_CASE(an_empty_restart_takes_the_newest_of_peers_and_platform)
+BOOST_AUTO_TEST_CASE(a_router_that_restarts_without_state_takes_the_newest_configuration)
 {
     auto fleet = configured_fleet();
     auto &routers = fleet.all.routers();
     BOOST_TEST(fleet.all.apply(routers[0], profileText("newest")) == 0);
-    BOOST_TEST(fleet.everywhere("newest"));
+    BOOST_TEST(fleet.allRoutersHave("newest"));
     BOOST_TEST(fleet.all.command(routers[0], { "delete", "profile", "newest" }) == 0);
     BOOST_TEST(fleet.all.apply(routers[0], profileText("latest")) == 0);
-    BOOST_TEST(fleet.everywhere("latest"));
+    BOOST_TEST(fleet.allRoutersHave("latest"));
     const auto sequence = fleet.all.sequenceAt(routers[0]);
     for (const auto *faults : { R"([{"kind":"outage"}])", R"([{"kind":"stale_reads","behind":2}])" }) {
         fleet.all.platform().setFaults(faults);
         fleet.all.restart(routers[1], false);
-        // A router that is ready works by the newest change that its peers know.
-        const auto ready = waitUntil(startMs, [&] { return fleet.isReady(1); });
+        // A router becomes ready only with the newest change that its peers know.
+        const auto ready = waitUntil(startTimeoutMs, [&] { return fleet.isReady(1); });
         BOOST_TEST(ready, faults);
         BOOST_TEST(fleet.all.sequenceAt(routers[1]) == sequence);
-        BOOST_TEST(fleet.has(1, "latest"));
-        BOOST_TEST(!fleet.has(1, "newest"));
+        BOOST_TEST(fleet.hasProfile(1, "latest"));
+        BOOST_TEST(!fleet.hasProfile(1, "newest"));
         fleet.all.platform().setFaults("[]");
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_watch_and_old_reads_neither_delay_nor_revert_a_change)
+BOOST_AUTO_TEST_CASE(a_silent_watch_or_stale_reads_neither_delay_nor_revert_a_change)
 {
     auto fleet = configured_fleet(2);
     auto &routers = fleet.all.routers();
     fleet.all.platform().setFaults(R"([{"kind":"freeze_open"}])");
     fleet.all.platform().setFaults("[]");
     BOOST_TEST(fleet.all.apply(routers[0], profileText("after-silence")) == 0);
-    BOOST_TEST(fleet.everywhere("after-silence"));
+    BOOST_TEST(fleet.allRoutersHave("after-silence"));
     BOOST_TEST(fleet.all.command(routers[3], { "delete", "profile", "after-silence" }) == 0);
-    BOOST_TEST(fleet.everywhere("after-silence", false));
+    BOOST_TEST(fleet.allRoutersHave("after-silence", false));
     fleet.all.platform().setFaults(R"([{"kind":"stale_reads","behind":1}])");
     const auto sequence = fleet.all.sequenceAt(routers[0]);
-    // Long enough for a watch to be dialled anew and to read what it can.
-    const auto reverted = waitUntil(inForceMs, [&] {
+    // The wait is long enough for a watch to reconnect and to get stale reads.
+    const auto reverted = waitUntil(propagationLimitMs, [&] {
         for (auto &router : routers) {
             if (fleet.all.sequenceAt(router) < sequence) {
                 return true;
@@ -159,7 +161,7 @@
         return false;
     });
     BOOST_TEST(!reverted);
-    BOOST_TEST(!fleet.has(0, "after-silence"));
+    BOOST_TEST(!fleet.hasProfile(0, "after-silence"));
 }
 
 BOOST_AUTO_TEST_CASE(a_router_that_was_paused_catches_up_and_does_not_revert_the_others)
@@ -172,8 +174,8 @@
     BOOST_TEST(fleet.all.apply(routers[0], profileText("then")) == 0);
     const auto sequence = fleet.all.sequenceAt(routers[0]);
     routers[1].process->signal(SIGCONT);
-    BOOST_TEST(fleet.everywhere("then"));
-    BOOST_TEST(fleet.everywhere("meanwhile", false));
+    BOOST_TEST(fleet.allRoutersHave("then"));
+    BOOST_TEST(fleet.allRoutersHave("meanwhile", false));
     BOOST_TEST(fleet.all.sequenceAt(routers[0]) == sequence);
 }
 
--- a/tests/unit/contract/change_log_schedule_test.cpp
+++ b/tests/unit/contract/change_log_schedule_test.cpp
@@ -17,14 +17,14 @@
 constexpr auto stepsPerSeed = 150;
 constexpr auto seeds = 60;
 
-/// One router's part in the configuration; a restart makes a new one.
-struct router_part
+/// The configuration components of one router. A restart replaces them by new ones.
+struct router_configuration
 {
-    explicit router_part(memory_store &platform)
+    explicit router_configuration(memory_store &platform)
         : store(counters)
         , watcher(platform, store, 1)
         , changes(platform, store, watcher, std::chrono::milliseconds(0))
-        , compactor(platform, store, { .changesPerSnapshot = 5, .changesKept = 1 })
+        , compactor(platform, store, { .changesPerSnapshot = 5, .changesRetained = 1 })
     {
     }
 
@@ -35,30 +35,31 @@
     configuration_compactor<memory_store> compactor;
 };
 
-/// A random schedule of operators, restarts, compactions and faults, checked after each step.
-class schedule
+/// Runs a random sequence of proposals, refreshes, restarts, compactions and platform faults. Checks the invariants
+/// after each step.
+class random_schedule
 {
 public:
-    explicit schedule(std::uint64_t seed)
+    explicit random_schedule(std::uint64_t seed)
         : m_random(seed)
     {
         for (auto index = std::size_t(0); index < routers; ++index) {
-            m_routers.push_back(std::make_unique<router_part>(m_platform));
-            m_highest.push_back(0);
+            m_routers.push_back(std::make_unique<router_configuration>(m_platform));
+            m_highestSequences.push_back(0);
         }
     }
 
-    /// Text of the first broken promise, or empty.
+    /// Returns a description of the first violation; empty if there is none.
     auto run() -> std::string
     {
         for (auto step = 0; step < stepsPerSeed; ++step) {
-            act(pick(routers));
-            const auto broken = check();
-            if (!broken.empty()) {
-                return "step " + std::to_string(step) + ": " + broken;
+            runStep(pick(routers));
+            const auto violation = checkInvariants();
+            if (!violation.empty()) {
+                return "step " + std::to_string(step) + ": " + violation;
             }
         }
-        return settle();
+        return checkConvergence();
     }
 
     [[nodiscard]] auto acceptedCount() const -> std::size_t
@@ -72,7 +73,7 @@
         return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random);
     }
 
-    auto act(std::size_t index) -> void
+    auto runStep(std::size_t index) -> void
     {
         auto why = last_reason();
         auto &router = *m_routers[index];
@@ -91,8 +92,8 @@
             runCoroutine(router.compactor.compact(why));
             break;
         case 4:
-            m_routers[index] = std::make_unique<router_part>(m_platform);
-            m_highest[index] = 0;
+            m_routers[index] = std::make_unique<router_configuration>(m_platform);
+            m_highestSequences[index] = 0;
             break;
         case 5:
         case 6:
@@ -103,7 +104,7 @@
         }
     }
 
-    auto propose(router_part &router) -> void
+    auto propose(router_configuration &router) -> void
     {
         const auto current = router.store.read();
         auto proposal = proposed_change{ .id = "id-" + std::to_string(++m_proposals),
@@ -121,39 +122,39 @@
         auto why = last_reason();
         const auto outcome = runCoroutine(router.changes.commit(std::move(proposal), why));
         if (outcome.result == commit_result::accepted) {
-            m_doubled = m_doubled || m_accepted.contains(outcome.sequence);
+            m_sequenceAcceptedTwice = m_sequenceAcceptedTwice || m_accepted.contains(outcome.sequence);
             m_accepted[outcome.sequence] = { object.name, removed };
         } else if (outcome.result != commit_result::unknown) {
-            m_refused.insert(object.name);
+            m_notAccepted.insert(object.name);
         }
     }
 
-    auto check() -> std::string
+    auto checkInvariants() -> std::string
     {
         for (auto index = std::size_t(0); index < routers; ++index) {
             const auto current = m_routers[index]->store.read();
-            if (current->sequence < m_highest[index]) {
-                return "a router went back";
+            if (current->sequence < m_highestSequences[index]) {
+                return "the sequence of a router decreased";
             }
-            m_highest[index] = current->sequence;
+            m_highestSequences[index] = current->sequence;
             const auto text = boost::json::serialize(toJson(*current));
-            const auto [entry, fresh] = m_contents.emplace(current->sequence, text);
-            if (!fresh && entry->second != text) {
+            const auto [entry, inserted] = m_contentsBySequence.emplace(current->sequence, text);
+            if (!inserted && entry->second != text) {
                 return "two routers differ at sequence " + std::to_string(current->sequence);
             }
-            const auto broken = checkContents(*current);
-            if (!broken.empty()) {
-                return broken;
+            const auto violation = checkContents(*current);
+            if (!violation.empty()) {
+                return violation;
             }
         }
-        return m_doubled ? "two changes were accepted as one sequence" : "";
+        return m_sequenceAcceptedTwice ? "two changes were accepted as one sequence" : "";
     }
 
     auto checkContents(const configuration &current) const -> std::string
     {
-        for (const auto &name : m_refused) {
+        for (const auto &name : m_notAccepted) {
             if (current.profiles.contains(name)) {
-                return name + " was told as not accepted and is in force";
+                return name + " was reported as not accepted and is active";
             }
         }
         auto removed = std::set<std::string>();
@@ -163,24 +164,24 @@
             }
         }
         for (const auto &[sequence, names] : m_accepted) {
-            const auto due = sequence <= current.sequence;
-            if (due && removed.contains(names.second) && current.profiles.contains(names.second)) {
-                return names.second + " came back after its deletion";
+            const auto isApplied = sequence <= current.sequence;
+            if (isApplied && removed.contains(names.second) && current.profiles.contains(names.second)) {
+                return names.second + " exists again after its deletion";
             }
-            if (due && current.profiles.contains(names.first)) {
+            if (isApplied && current.profiles.contains(names.first)) {
                 continue;
             }
-            if (due && !removed.contains(names.first) && !mayBeRemovedByUnknown(names.first, current)) {
-                return names.first + " was accepted and is not in force";
+            if (isApplied && !removed.contains(names.first) && !mayBeDeletedByUnknownOutcome(names.first, current)) {
+                return names.first + " was accepted and is not active";
             }
         }
         return {};
     }
 
-    /// A proposal with an unknown outcome may have deleted the name: then it is gone for good.
-    auto mayBeRemovedByUnknown(const std::string &name, const configuration &current) const -> bool
+    /// Whether a proposal with an unknown outcome may have deleted the object: no later configuration contains it then.
+    auto mayBeDeletedByUnknownOutcome(const std::string &name, const configuration &current) const -> bool
     {
-        for (const auto &[sequence, text] : m_contents) {
+        for (const auto &[sequence, text] : m_contentsBySequence) {
             const auto later = sequence > current.sequence;
             if (later && text.find("\"" + name + "\"") != std::string::npos) {
                 return false;
@@ -189,8 +190,8 @@
         return true;
     }
 
-    /// Without faults every router ends at the same sequence, at or above every accepted one.
-    auto settle() -> std::string
+    /// Checks that all routers reach the same sequence, not below any accepted one, once there are no faults.
+    auto checkConvergence() -> std::string
     {
         m_platform.landLate();
         m_platform.down = false;
@@ -206,32 +207,33 @@
                 return "a router is behind without faults";
             }
         }
-        return check();
+        return checkInvariants();
     }
 
     std::mt19937_64 m_random;
     memory_store m_platform;
-    std::vector<std::unique_ptr<router_part>> m_routers;
-    std::vector<std::uint64_t> m_highest;
+    std::vector<std::unique_ptr<router_configuration>> m_routers;
+    std::vector<std::uint64_t> m_highestSequences;
     std::uint64_t m_proposals = 0;
-    bool m_doubled = false;
-    std::map<std::uint64_t, std::pair<std::string, std::string>> m_accepted; ///< Name put and name deleted.
-    std::set<std::string> m_refused;
-    std::map<std::uint64_t, std::string> m_contents; ///< What the first router had at each sequence.
+    bool m_sequenceAcceptedTwice = false;
+    std::map<std::uint64_t, std::pair<std::string, std::string>> m_accepted; ///< Names created and deleted.
+    std::set<std::string> m_notAccepted; ///< Objects of proposals with any other known outcome.
+    std::map<std::uint64_t, std::string> m_contentsBySequence; ///< As first seen on any router.
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(change_log_schedule_test)
 
-BOOST_AUTO_TEST_CASE(accepted_changes_stay_and_routers_agree_under_random_schedules)
+// Guards against lost, reverted or duplicate commits under concurrent proposals, restarts, compactions and faults.
+BOOST_AUTO_TEST_CASE(accepted_changes_persist_and_routers_agree_under_random_schedules)
 {
     auto accepted = std::size_t(0);
     for (auto seed = 1; seed <= seeds; ++seed) {
-        auto one = schedule(static_cast<std::uint64_t>(seed));
-        const auto broken = one.run();
-        BOOST_TEST(broken.empty(), "seed " << seed << ": " << broken);
-        accepted += one.acceptedCount();
+        auto schedule = random_schedule(static_cast<std::uint64_t>(seed));
+        const auto violation = schedule.run();
+        BOOST_TEST(violation.empty(), "seed " << seed << ": " << violation);
+        accepted += schedule.acceptedCount();
     }
     BOOST_TEST_MESSAGE(seeds << " seeds, " << accepted << " accepted changes");
     BOOST_TEST(accepted > 0U);
--- a/tests/unit/contract/change_log_test.cpp
+++ b/tests/unit/contract/change_log_test.cpp
@@ -14,14 +14,14 @@
 
 constexpr auto commitLimit = std::chrono::milliseconds(50);
 
-/// One router's part in the configuration, on a shared platform.
-struct router_part
+/// The configuration components of one router; the platform is shared between routers.
+struct router_configuration
 {
-    explicit router_part(memory_store &platform)
+    explicit router_configuration(memory_store &platform)
         : store(counters)
         , watcher(platform, store, 1)
         , changes(platform, store, watcher, commitLimit)
-        , compactor(platform, store, { .changesPerSnapshot = 4, .changesKept = 1 })
+        , compactor(platform, store, { .changesPerSnapshot = 4, .changesRetained = 1 })
     {
     }
 
@@ -49,14 +49,15 @@
     configuration_compactor<memory_store> compactor;
 };
 
+/// Two routers on one platform.
 struct log_fixture
 {
     memory_store platform;
-    router_part first{ platform };
-    router_part second{ platform };
+    router_configuration first{ platform };
+    router_configuration second{ platform };
 
-    /// Commits changes up to \p last by the first router.
-    auto fill(std::uint64_t last) -> void
+    /// Commits changes up to sequence \p last through the first router.
+    auto commitUpTo(std::uint64_t last) -> void
     {
         for (auto base = first.store.sequence(); base < last; ++base) {
             first.propose("fill-" + std::to_string(base), base, "p" + std::to_string(base + 1));
@@ -74,19 +75,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(change_log_test, log_fixture)
 
-BOOST_AUTO_TEST_CASE(of_two_operators_one_is_told_what_the_other_changed)
+BOOST_AUTO_TEST_CASE(a_conflict_reports_the_concurrent_changes)
 {
     BOOST_TEST((first.propose("a", 0, "quick").result == commit_result::accepted));
     const auto other = second.propose("b", 0, "slow");
     BOOST_TEST((other.result == commit_result::conflict));
     BOOST_TEST(other.sequence == 1U);
-    BOOST_TEST_REQUIRE(other.others.size() == 1U);
-    BOOST_TEST(other.others.front().author == "ayele");
-    BOOST_TEST(other.others.front().objects.front() == "put profile/quick");
+    BOOST_TEST_REQUIRE(other.concurrentChanges.size() == 1U);
+    BOOST_TEST(other.concurrentChanges.front().author == "ayele");
+    BOOST_TEST(other.concurrentChanges.front().objects.front() == "put profile/quick");
     BOOST_TEST((second.propose("b", 1, "slow").result == commit_result::accepted));
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_answer_is_settled_by_the_changes_own_id)
+BOOST_AUTO_TEST_CASE(a_retry_after_a_lost_answer_does_not_commit_twice)
 {
     platform.faults = { write_fault::answerLost };
     BOOST_TEST((first.propose("a", 0, "quick").result == commit_result::accepted));
@@ -94,7 +95,7 @@
     BOOST_TEST(platform.count(changeKind) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_may_land_late_is_told_as_unknown_and_a_repeat_settles_it)
+BOOST_AUTO_TEST_CASE(a_write_that_may_be_applied_later_has_an_unknown_outcome_until_retried)
 {
     platform.faults = std::deque<write_fault>(1000, write_fault::late);
     BOOST_TEST((first.propose("a", 0, "quick").result == commit_result::unknown));
@@ -105,13 +106,13 @@
     BOOST_TEST((first.propose("b", 1, "slow").result == commit_result::refused));
 }
 
-BOOST_AUTO_TEST_CASE(the_whole_resulting_set_is_checked)
+BOOST_AUTO_TEST_CASE(a_change_that_leads_to_an_invalid_configuration_is_not_written)
 {
-    auto orphan = service();
-    orphan.name = "desk";
-    orphan.profile = "missing";
+    auto missingProfile = service();
+    missingProfile.name = "desk";
+    missingProfile.profile = "missing";
     auto proposal = proposed_change{ .id = "a", .author = "ayele", .baseSequence = 0, .operations = {} };
-    proposal.operations.push_back({ operation_kind::put, object_kind::service, "desk", orphan });
+    proposal.operations.push_back({ operation_kind::put, object_kind::service, "desk", missingProfile });
     auto why = last_reason();
     const auto outcome = runCoroutine(first.changes.commit(proposal, why));
     BOOST_TEST((outcome.result == commit_result::invalid));
@@ -120,29 +121,29 @@
     BOOST_TEST(platform.count(changeKind) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_cold_start_reads_a_snapshot_and_the_changes_after_it)
+BOOST_AUTO_TEST_CASE(a_cold_start_reads_the_snapshot_and_later_changes)
 {
-    fill(6);
+    commitUpTo(6);
     BOOST_TEST(compact());
-    fill(8);
+    commitUpTo(8);
     BOOST_TEST(platform.count(changeKind) == 3U);
     BOOST_TEST(second.refresh());
     BOOST_TEST(second.store.sequence() == 8U);
     BOOST_TEST((second.store.read()->profiles.at("p2").id == first.store.read()->profiles.at("p2").id));
-    fill(12);
+    commitUpTo(12);
     BOOST_TEST(compact());
     BOOST_TEST(platform.count(snapshotChunkKind) == 1U);
     BOOST_TEST(second.refresh());
     BOOST_TEST(second.store.sequence() == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(a_create_where_a_change_was_compacted_away_is_no_commit)
+BOOST_AUTO_TEST_CASE(a_create_under_the_name_of_a_compacted_change_is_not_a_commit)
 {
-    fill(1);
+    commitUpTo(1);
     BOOST_TEST(second.refresh());
-    fill(8);
+    commitUpTo(8);
     BOOST_TEST(compact());
-    // The second router still works by change 1 and finds the name of change 2 free.
+    // The second router is still at change 1. The name of change 2 is free, as compaction has deleted that change.
     BOOST_TEST(platform.current(changeKind, changeName(2)).revision == 0U);
     const auto outcome = second.propose("stray", 1, "stray");
     BOOST_TEST((outcome.result == commit_result::conflict));
@@ -150,13 +151,13 @@
     BOOST_TEST(!second.store.read()->profiles.contains("stray"));
 }
 
-BOOST_AUTO_TEST_CASE(a_paused_watcher_does_not_follow_a_stray_change)
+BOOST_AUTO_TEST_CASE(a_watcher_that_lags_ignores_changes_below_the_snapshot_floor)
 {
-    fill(1);
-    auto third = router_part(platform);
+    commitUpTo(1);
+    auto third = router_configuration(platform);
     BOOST_TEST(third.refresh());
     BOOST_TEST(second.refresh());
-    fill(8);
+    commitUpTo(8);
     BOOST_TEST(compact());
     second.propose("stray", 1, "stray");
     BOOST_TEST(third.refresh());
@@ -164,7 +165,7 @@
     BOOST_TEST(!third.store.read()->profiles.contains("stray"));
 }
 
-BOOST_AUTO_TEST_CASE(the_api_answers_operators)
+BOOST_AUTO_TEST_CASE(the_api_accepts_changes_and_rejects_malformed_ones)
 {
     auto api = operator_api<memory_store>(first.store, first.changes);
     const auto body =
--- a/tests/unit/contract/configuration_file_test.cpp
+++ b/tests/unit/contract/configuration_file_test.cpp
@@ -34,7 +34,7 @@
     BOOST_TEST(firstProblem("[[profile]]\nname = \n").starts_with("a.toml:2: "));
 }
 
-BOOST_AUTO_TEST_CASE(objects_read_what_was_written)
+BOOST_AUTO_TEST_CASE(objects_survive_conversion_to_toml_and_back)
 {
     const auto text = std::string("[[planned_stop]]\nname = \"s1\"\nbackend_server = \"e1\"\n"
                                   "at = 2026-12-04T08:00:00+03:00\nuntil = 2026-12-04T06:30:00.250Z\n");
@@ -52,7 +52,7 @@
     BOOST_TEST(!parseTime("1\nx = 2").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_whole_set_is_checked)
+BOOST_AUTO_TEST_CASE(references_duplicates_and_contradictions_are_reported_with_locations)
 {
     const auto hash = std::string(64, 'a');
     const auto text = "[[client_account]]\nname = \"a1\"\nkey_hashes = [\"" + hash + "\"]\n"
@@ -64,12 +64,12 @@
     const auto objects = parseObjects(text, "a.toml", problems);
     BOOST_TEST(problems.empty());
     auto change = configuration_change{ .sequence = 1, .id = {}, .author = {}, .unixMs = 0, .operations = {} };
-    for (const auto &placed : objects) {
+    for (const auto &located : objects) {
         change.operations.push_back(
-            { operation_kind::put, kindOf(placed.object), nameOf(placed.object), placed.object });
+            { operation_kind::put, kindOf(located.object), nameOf(located.object), located.object });
     }
     problems = checkConfiguration(applyOperations({}, change));
-    placeProblems(objects, problems);
+    locateProblems(objects, problems);
     auto lines = std::vector<std::string>();
     for (const auto &problem : problems) {
         lines.push_back(problem.message());
--- a/tests/unit/contract/configuration_store_test.cpp
+++ b/tests/unit/contract/configuration_store_test.cpp
@@ -32,6 +32,7 @@
                           .operations = std::move(operations) });
 }
 
+/// A store and helpers that offer changes to it.
 struct store_fixture
 {
     counter_registry counters;
@@ -51,37 +52,37 @@
 {
     BOOST_TEST((offer(2, { putProfile("late") }) == offer_result::gap));
     BOOST_TEST((offer(1, { putProfile("quick") }) == offer_result::applied));
-    BOOST_TEST((offer(1, { putProfile("other") }) == offer_result::known));
+    BOOST_TEST((offer(1, { putProfile("other") }) == offer_result::alreadyApplied));
     BOOST_TEST(store.read()->profiles.size() == 1U);
     BOOST_TEST(store.sequence() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_deleted_name_does_not_come_back_by_an_older_message)
+BOOST_AUTO_TEST_CASE(an_older_change_from_a_peer_does_not_restore_a_deleted_object)
 {
     offer(1, { putProfile("quick") });
     const auto first = store.read()->profiles.at("quick").id;
     offer(2, { removeProfile("quick") });
     const auto older = store.changesAfter(0, 1).front();
-    BOOST_TEST((store.offer(older.sequence, older.value, change_source::peer) == offer_result::known));
+    BOOST_TEST((store.offer(older.sequence, older.value, change_source::peer) == offer_result::alreadyApplied));
     BOOST_TEST(store.read()->profiles.empty());
     offer(3, { putProfile("quick") });
     BOOST_TEST((store.read()->profiles.at("quick").id > first));
 }
 
-BOOST_AUTO_TEST_CASE(content_that_cannot_be_carried_out_is_stepped_over_whole)
+BOOST_AUTO_TEST_CASE(a_malformed_or_invalid_change_is_skipped_as_a_whole)
 {
     offer(1, { putProfile("quick") });
     BOOST_TEST((store.offer(2, "{ not json", change_source::platform) == offer_result::applied));
-    auto orphan = service();
-    orphan.name = "desk";
-    orphan.profile = "none";
-    offer(3, { putProfile("kept-out"), { operation_kind::put, object_kind::service, "desk", orphan } });
+    auto missingProfile = service();
+    missingProfile.name = "desk";
+    missingProfile.profile = "none";
+    offer(3, { putProfile("kept-out"), { operation_kind::put, object_kind::service, "desk", missingProfile } });
     BOOST_TEST(store.sequence() == 3U);
     BOOST_TEST(store.read()->profiles.size() == 1U);
     BOOST_TEST(counters.at("marjoramloom_configuration_stepped_over_total").value() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_that_starts_empty_catches_up_by_changes_or_by_a_snapshot)
+BOOST_AUTO_TEST_CASE(an_empty_store_catches_up_by_changes_or_by_a_snapshot)
 {
     for (auto sequence = std::uint64_t(1); sequence <= 5; ++sequence) {
         offer(sequence, { putProfile("p" + std::to_string(sequence)) });
@@ -100,18 +101,18 @@
     BOOST_TEST(bySnapshot.changesAfter(2, 100).front().sequence == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(it_is_not_current_while_a_peer_announces_more)
+BOOST_AUTO_TEST_CASE(a_store_is_not_up_to_date_while_a_peer_has_a_newer_configuration)
 {
-    BOOST_TEST(!store.isCurrent());
+    BOOST_TEST(!store.isUpToDate());
     store.noteLoaded();
-    BOOST_TEST(store.isCurrent());
-    store.noteAnnounced(1);
-    BOOST_TEST(!store.isCurrent());
+    BOOST_TEST(store.isUpToDate());
+    store.notePeerSequence(1);
+    BOOST_TEST(!store.isUpToDate());
     offer(1, { putProfile("quick") });
-    BOOST_TEST(store.isCurrent());
+    BOOST_TEST(store.isUpToDate());
 }
 
-BOOST_AUTO_TEST_CASE(the_watcher_reads_lists_and_follows_events)
+BOOST_AUTO_TEST_CASE(a_refresh_of_the_watcher_applies_all_listed_changes)
 {
     auto platform = memory_store();
     auto why = last_reason();
@@ -122,7 +123,7 @@
     auto watcher = configuration_watcher<memory_store>(platform, store, 1);
     BOOST_TEST(runCoroutine(watcher.refresh(why)));
     BOOST_TEST(store.sequence() == 3U);
-    BOOST_TEST(store.isCurrent());
+    BOOST_TEST(store.isUpToDate());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/peer/configuration_relay_test.cpp
+++ b/tests/unit/peer/configuration_relay_test.cpp
@@ -153,10 +153,10 @@
     fleet.network.remove("a-2y");
     fleet.run(1s);
     auto &restarted = fleet.add("a-2y");
-    BOOST_TEST(!restarted.store.isCurrent());
+    BOOST_TEST(!restarted.store.isUpToDate());
     fleet.run(3s);
     BOOST_TEST(restarted.store.sequence() == 5U);
-    BOOST_TEST(restarted.store.isCurrent());
+    BOOST_TEST(restarted.store.isUpToDate());
     BOOST_TEST(fleet.allAt(5));
 }
 
