--- a/include/marjoramloom/router/admission.h
+++ b/include/marjoramloom/router/admission.h
@@ -10,7 +10,9 @@
 
 namespace marjoramloom {
 
-/// A request whose account, service and profile are known. Holds the view that its pointers point into.
+/// Client account, service and profile of a request that passed authentication.
+///
+/// The pointers point into \p view, which this struct keeps alive.
 struct admitted_request
 {
     std::shared_ptr<const router_view> view;
@@ -19,11 +21,13 @@
     const profile *treatment = nullptr;
 };
 
-/// Checks the caller's key. Nothing (why: unauthorized) where no account has it. Thread safe.
+/// Finds the client account that owns the request's bearer key. Returns null, with \p why set to unauthorized, if there
+/// is none. Thread safe.
 auto authenticate(const std::shared_ptr<const router_view> &view, const http_exchange &exchange, last_reason &why)
     -> const client_account *;
 
-/// Checks the caller's key and finds the service \p serviceName of \p kind with its profile. Thread safe.
+/// Authenticates the request and looks up the service \p serviceName of \p kind and its profile. Returns nothing, with
+/// the reason in \p why, if one of these steps fails. Thread safe.
 auto admit(std::shared_ptr<const router_view> view, const http_exchange &exchange, const std::string &serviceName,
            service_kind kind, last_reason &why) -> std::optional<admitted_request>;
 
--- a/include/marjoramloom/router/dispatch_service.h
+++ b/include/marjoramloom/router/dispatch_service.h
@@ -6,7 +6,7 @@
 #include "marjoramloom/peer/role.h"
 #include "marjoramloom/peer/totals_exchange.h"
 #include "marjoramloom/peer/wire_codec.h"
-#include "marjoramloom/router/held_dispatchers.h"
+#include "marjoramloom/router/local_dispatchers.h"
 #include "marjoramloom/router/router_view.h"
 #include "marjoramloom/router/ticket_queue.h"
 #include "marjoramloom/share/dispatcher.h"
@@ -24,10 +24,10 @@
 
 namespace marjoramloom {
 
-/// Connects this router's ticket queue with the dispatchers of all pools: those it holds the duty for, and those that
-/// other routers hold.
+/// Connects this router's ticket queue with the dispatchers of all pools. A dispatcher grants the tickets of one pool
+/// and runs on the one router that has the dispatcher role for the pool: this router or another one.
 ///
-/// Belongs to the decision strand; not thread safe but for observePace().
+/// Call all functions on the decision strand (see ticket_queue::strand_type); only observePace() is thread safe.
 class dispatch_service
 {
 public:
@@ -38,78 +38,78 @@
                      ticket_queue &tickets, counter_registry &counters);
     ~dispatch_service();
 
-    /// The ticket queue's way to the dispatchers.
+    /// Returns the callbacks through which the ticket queue reaches the dispatchers.
     auto port() -> dispatch_port;
 
-    /// Takes over a new configuration.
+    /// Applies a new configuration.
     auto setView(std::shared_ptr<const router_view> view) -> void;
 
-    /// Handles what another router sent.
+    /// Handles a message from another router.
     auto receive(incarnation_id from, const wire::Envelope &message) -> void;
 
-    /// Each handles one message of another router, as readDispatchMessages() hands them over.
-    auto take(const running_request &running) -> void;
-    auto take(const addressed_ticket &addressed) -> void;
-    auto take(const grant &given) -> void;
-    auto take(const refusal &refused) -> void;
-    auto take(const suspension &asked) -> void;
-    auto take(const pull_request &pull) -> void;
-    auto take(const pace_sample &sample) -> void;
-    auto takeWithdrawal(ticket_id id) -> void;
-    auto takeProgress(const request_use &use) -> void;
-    auto takeSettlement(const request_use &use) -> void;
+    /// Callbacks of readDispatchMessages(), each for one item of a message from another router.
+    auto handle(const running_request &running) -> void;
+    auto handle(const addressed_ticket &addressed) -> void;
+    auto handle(const grant &issued) -> void;
+    auto handle(const refusal &refused) -> void;
+    auto handle(const suspension &requested) -> void;
+    auto handle(const pull_request &pull) -> void;
+    auto handle(const pace_sample &sample) -> void;
+    auto handleWithdrawal(ticket_id id) -> void;
+    auto handleProgress(const request_use &use) -> void;
+    auto handleSettlement(const request_use &use) -> void;
     auto reject(const last_reason &why) -> void;
 
-    /// A router joined or is gone: duties may have moved.
+    /// Handles a router that joined or was lost. Dispatcher roles may move to other routers.
     auto onMember(const member_event &event) -> void;
 
-    /// Whether a backend server takes new work, by whatever source knew first.
+    /// Sets whether a backend server accepts new requests. The state may come from any source.
     auto setServerState(object_id server, server_state state) -> void;
 
-    /// A backend server's own report of its load.
+    /// Passes a backend server's load report to the local dispatcher of its pool.
     auto observeLoad(const load_report &report) -> void;
 
-    /// A call's observation of a backend server. Thread safe.
+    /// Passes a call's measurement of a backend server's speed to the dispatcher of its pool. Thread safe.
     auto observePace(const pace_sample &sample) -> void;
 
-    /// Deadlines, progress, resubmission and digests. To be called every tickPeriod.
+    /// Expires tickets, reports progress, resubmits tickets and sends digests. Call every tickPeriod.
     auto tick(time_point now) -> void;
 
     /// Period of tick().
     static constexpr auto tickPeriod = std::chrono::milliseconds(50);
 
-    /// Whether this router holds the dispatcher of \p pool.
-    [[nodiscard]] auto holds(const pool_id &pool) const -> bool;
+    /// Whether the dispatcher of \p pool runs on this router.
+    [[nodiscard]] auto isDispatcherOf(const pool_id &pool) const -> bool;
 
-    /// Pools whose dispatcher this router holds.
-    [[nodiscard]] auto heldPools() const -> std::size_t;
+    /// Number of pools whose dispatcher runs on this router.
+    [[nodiscard]] auto dispatchedPoolCount() const -> std::size_t;
 
 private:
     auto selfIncarnation() const -> incarnation_id;
-    auto holderOf(const pool_id &pool) -> incarnation_id;
-    auto refreshDuties() -> void;
-    auto moveWorkTo(const pool_id &pool, incarnation_id holder) -> void;
-    auto tellRunning(const pool_id &pool, incarnation_id holder) -> void;
-    auto takeConfirmed(incarnation_id from, const wire::Envelope &message) -> void;
+    auto dispatchingRouter(const pool_id &pool) -> incarnation_id;
+    auto refreshDispatcherRoles() -> void;
+    auto syncDispatcher(const pool_id &pool, incarnation_id router) -> void;
+    auto sendRunningRequests(const pool_id &pool, incarnation_id router) -> void;
+    auto handleConfirmedPools(incarnation_id from, const wire::Envelope &message) -> void;
 
     auto submit(const ticket &waiting, const pool_id &pool) -> void;
     auto withdraw(const pool_id &pool, ticket_id id) -> void;
-    auto progress(const grant &granted, double cost, double growth) -> void;
-    auto settle(const grant &granted, double cost, double growth) -> void;
+    auto progress(const grant &granted, double cost, double costDelta) -> void;
+    auto settle(const grant &granted, double cost, double costDelta) -> void;
 
     auto envelopeFor(incarnation_id to) -> wire::Envelope &;
-    auto envelopeToHolder(const pool_id &pool) -> wire::Envelope *;
-    auto schedulePass(const pool_id &pool) -> void;
-    auto schedulePass() -> void;
-    auto runPass() -> void;
-    auto carryOut(dispatch_decisions decisions) -> void;
-    auto deliver(const grant &given) -> void;
+    auto envelopeToDispatcher(const pool_id &pool) -> wire::Envelope *;
+    auto scheduleDispatchPass(const pool_id &pool) -> void;
+    auto scheduleDispatchPass() -> void;
+    auto runDispatchPass() -> void;
+    auto applyDecisions(dispatch_decisions decisions) -> void;
+    auto deliver(const grant &issued) -> void;
     auto deliver(const refusal &refused) -> void;
-    auto deliver(const suspension &asked) -> void;
-    auto ask(const pull_request &pull) -> void;
+    auto deliver(const suspension &requested) -> void;
+    auto sendPull(const pull_request &pull) -> void;
     auto answerPull(const pull_request &pull) -> void;
     auto flush() -> void;
-    auto absorbDigest(const pool_digest &digest) -> void;
+    auto handleDigest(const pool_digest &digest) -> void;
     auto publishDigests(time_point now) -> void;
 
     strand_type m_strand;
@@ -119,17 +119,18 @@
     counter &m_grants;
     counter &m_suspensions;
     counter &m_pulls;
-    counter &m_dropped; ///< Messages that a link did not take.
-    counter &m_rejected; ///< Items of messages that make no sense.
+    counter &m_droppedMessages; ///< Messages that could not be sent to their router.
+    counter &m_rejectedItems; ///< Items of received messages that could not be decoded.
     share_ledger m_ledger;
-    held_dispatchers m_held;
+    local_dispatchers m_localDispatchers;
     digest_exchange<peer_links> m_digests;
     totals_exchange<peer_links> m_totals;
-    std::map<pool_id, incarnation_id> m_holders; ///< As last seen; empty after a change of membership.
-    std::map<pool_id, incarnation_id> m_followed; ///< Holder that knows this router's work in the pool.
+    std::map<pool_id, incarnation_id> m_dispatchingRouters; ///< Cache; cleared when the membership changes.
+    /// Router whose dispatcher was last sent this router's running and waiting requests of the pool.
+    std::map<pool_id, incarnation_id> m_syncedRouters;
     std::unordered_map<incarnation_id, std::unique_ptr<wire::Envelope>> m_outbox;
-    std::set<pool_id> m_dirty;
-    bool m_passScheduled = false;
+    std::set<pool_id> m_changedPools; ///< Pools whose local dispatchers decide in the next pass.
+    bool m_dispatchPassScheduled = false;
     std::uint64_t m_ticks = 0;
 };
 
--- a/include/marjoramloom/router/http_exchange.h
+++ b/include/marjoramloom/router/http_exchange.h
@@ -16,7 +16,7 @@
 
 namespace marjoramloom {
 
-/// A whole response of a handler.
+/// A complete response, not yet sent.
 struct http_reply
 {
     unsigned status = 200;
@@ -25,10 +25,13 @@
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// One request on a caller's or operator's connection, and the ways to answer it.
+/// One request on a caller's or operator's connection, and the functions that answer it.
 ///
-/// Belongs to its connection's strand; not thread safe. Exactly one answer is sent: reply(), or startEvents() with
-/// writeEvent() and one of finishEvents() and abandonEvents().
+/// Not thread safe; call on the connection's strand. Exactly one answer is sent, in one of these ways:
+/// - reply() or relayComplete() sends a complete response.
+/// - startEvents() begins an event stream. writeEvent() follows, and then finishEvents() or abortEvents().
+/// - beginRelay() begins a chunked response. relayChunk() follows, and then finishRelay() or abortEvents().
+/// - closeWithoutAnswer() sends nothing.
 class http_exchange
 {
 public:
@@ -43,60 +46,61 @@
     /// Path and query of the request.
     [[nodiscard]] auto target() const -> std::string_view;
 
-    /// A header's value, empty where absent.
+    /// Returns the value of a header, or an empty text if it is absent.
     [[nodiscard]] auto header(std::string_view name) const -> std::string_view;
 
-    /// Address of the other side.
+    /// Address of the client.
     [[nodiscard]] auto peer() const -> const std::string &;
 
-    /// The token of `Authorization: Bearer`, empty where absent.
+    /// Returns the token of `Authorization: Bearer`, or an empty text if it is absent.
     [[nodiscard]] auto bearerToken() const -> std::string_view;
 
-    /// Closes the connection after this answer.
-    auto closeAfterwards() -> void;
+    /// Makes the connection close after this answer.
+    auto closeAfterAnswer() -> void;
 
-    /// Sends a whole response. False: the caller is gone.
+    /// Sends a complete response. Returns false if the write failed: the caller disconnected or the write timed out.
     auto reply(http_reply answer) -> boost::asio::awaitable<bool>;
 
-    /// Sends the head of a chunked `text/event-stream` response.
+    /// Sends the head of a chunked `text/event-stream` response. Returns false if the write failed.
     auto startEvents(std::vector<std::pair<std::string, std::string>> headers) -> boost::asio::awaitable<bool>;
 
-    /// Sends one chunk. Precondition: startEvents() was called. False: the caller is gone.
+    /// Sends one chunk. Returns false if the write failed. Precondition: startEvents() was called.
     auto writeEvent(std::string text) -> boost::asio::awaitable<bool>;
 
-    /// Ends the chunked body.
+    /// Ends the chunked body. Returns false if the write failed.
     auto finishEvents() -> boost::asio::awaitable<bool>;
 
-    /// Closes the connection without ending the chunked body, so that the caller sees that the answer is unfinished.
-    auto abandonEvents() -> void;
+    /// Closes the connection without ending the chunked body, so that the caller detects that the answer is incomplete.
+    auto abortEvents() -> void;
 
-    /// Begins an answer that is passed on piece by piece, as chunks. Nothing is sent before the first piece.
-    auto relayHead(const boost::beast::http::response_header<> &head) -> void;
+    /// Begins a response that is forwarded in chunks. The head is sent together with the first chunk.
+    auto beginRelay(const boost::beast::http::response_header<> &head) -> void;
 
-    /// Sends \p piece, behind the head where that is still to be sent. Precondition: relayHead() was called. False: the
-    /// caller is gone.
-    auto relayPiece(std::string_view piece) -> boost::asio::awaitable<bool>;
+    /// Sends \p data as one chunk, after the head if that is not sent yet. Returns false if the write failed.
+    /// Precondition: beginRelay() was called.
+    auto relayChunk(std::string_view data) -> boost::asio::awaitable<bool>;
 
-    /// Ends the answer that relayHead() began.
-    auto relayEnd() -> boost::asio::awaitable<bool>;
+    /// Ends the response that beginRelay() began. Returns false if the write failed.
+    auto finishRelay() -> boost::asio::awaitable<bool>;
 
-    /// Sends \p head with the whole \p body.
-    auto relayWhole(const boost::beast::http::response_header<> &head, std::string_view body)
+    /// Forwards a response with \p head and the complete \p body. Returns false if the write failed.
+    auto relayComplete(const boost::beast::http::response_header<> &head, std::string_view body)
         -> boost::asio::awaitable<bool>;
 
-    /// Whether the caller has closed its side by now. A caller that sent another request behind counts as present.
-    [[nodiscard]] auto callerIsGone() -> bool;
+    /// Whether the caller has closed its side of the connection. While a pipelined request is unread, this cannot be
+    /// seen and the result is false.
+    [[nodiscard]] auto isCallerDisconnected() -> bool;
 
-    /// Closes the connection without an answer. Precondition: no answer was begun.
-    auto drop() -> void;
+    /// Closes the connection without an answer. Precondition: answered() is false.
+    auto closeWithoutAnswer() -> void;
 
-    /// Completes once the caller closed its side of the connection.
-    auto waitForCallerToLeave() -> boost::asio::awaitable<void>;
+    /// Completes when the caller closes its side of the connection.
+    auto waitForCallerDisconnect() -> boost::asio::awaitable<void>;
 
-    /// True once any part of an answer was sent.
+    /// Whether an answer was begun, or the connection closed without one.
     [[nodiscard]] auto answered() const -> bool;
 
-    /// True where the connection can take another request.
+    /// Whether the connection can serve another request after this one.
     [[nodiscard]] auto reusable() const -> bool;
 
 private:
@@ -109,16 +113,16 @@
     duration m_writeTimeout;
     bool m_answered = false;
     bool m_reusable = true;
-    std::string m_unsentHead;
+    std::string m_unsentHead; ///< Head of a relayed response, until the first chunk is sent.
 };
 
-/// Body of an error response: kind, step, peer and detail of \p why. Thread safe.
+/// Returns the JSON body of an error response, with the kind, step, peer and detail of \p why. Thread safe.
 auto errorBody(const last_reason &why) -> std::string;
 
-/// HTTP status that fits \p kind. Thread safe.
+/// Returns the HTTP status code for a failure of \p kind. Thread safe.
 auto statusOf(failure_kind kind) -> unsigned;
 
-/// An error response for \p why. Thread safe.
+/// Returns the error response for \p why. Thread safe.
 auto errorReply(const last_reason &why) -> http_reply;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/router/http_server.h
+++ b/include/marjoramloom/router/http_server.h
@@ -17,7 +17,8 @@
 
 namespace marjoramloom {
 
-/// Answers requests. Called on the connection's own strand, from several connections at once.
+/// Requirements of a request handler. handle() is called on the strand of each connection, concurrently for several
+/// connections.
 template<typename Handler>
 concept http_handler = requires(Handler &handler, http_exchange &exchange)
 {
@@ -26,27 +27,28 @@
         } -> std::same_as<boost::asio::awaitable<void>>;
 };
 
-/// Limits of a listener.
+/// Size and time limits of the connections of one listener.
 struct http_limits
 {
     std::uint32_t bodyBytes = 4U << 20U;
     std::uint32_t headerBytes = 32U << 10U;
     duration headerTimeout = std::chrono::seconds(10); ///< From the first byte of a request to its last.
-    duration idleTimeout = std::chrono::seconds(60); ///< Between requests, and for one write.
-    /// While more connections than this are open, each is closed after its answer.
-    std::size_t keptConnections = std::numeric_limits<std::size_t>::max();
+    duration idleTimeout = std::chrono::seconds(60); ///< Between two requests, and for one write.
+    /// If more connections than this are open, each one is closed after its next answer.
+    std::size_t maxKeepAliveConnections = std::numeric_limits<std::size_t>::max();
 };
 
-/// How a server's connections share its context.
+/// How the connections of a server are synchronized.
 enum class session_concurrency {
-    strands, ///< The context has several threads; each connection has a strand.
-    oneThread, ///< The context has one thread, so that strands would only cost time.
+    strands, ///< Several threads run the context; each connection has its own strand.
+    singleThread, ///< One thread runs the context; strands would be needless overhead.
 };
 
 /// Listens on one address and serves HTTP/1.1 connections.
 ///
-/// Thread safe. At a stop, connections with a request finish it; idle ones answer one more request or close after a
-/// short while, so that no request that is on its way is lost.
+/// Thread safe, except for setLimits() and setConnectionGate(). After stopAccepting(), connections with a running
+/// request finish it. Idle connections stay open for a short time and answer one more request, so that a request
+/// already on its way is not lost.
 template<http_handler Handler>
 class http_server : public std::enable_shared_from_this<http_server<Handler>>
 {
@@ -55,20 +57,20 @@
     http_server(boost::asio::io_context &context, Handler &handler, counter_registry &counters, std::string name,
                 http_limits limits, session_concurrency concurrency = session_concurrency::strands);
 
-    /// Replaces the limits for requests that are still to come. Call on the only thread of the context.
+    /// Replaces the limits of later requests. Call on the thread of a context that has only one.
     auto setLimits(http_limits limits) -> void;
 
-    /// Connections that come while \p takesMore says no are closed unread, so that their callers turn to another router
-    /// at the least cost. Call before listen().
-    auto setGate(std::function<bool()> takesMore) -> void;
+    /// Sets a function that is called for each new connection. If it returns false, the connection is closed without
+    /// being read, so that the caller retries on another router at the lowest cost for this one. Call before listen().
+    auto setConnectionGate(std::function<bool()> mayAccept) -> void;
 
-    /// Starts listening. Returns the port, or nothing where the address cannot be had.
+    /// Starts listening. Returns the port, or nothing if the server cannot listen on \p address.
     auto listen(const std::string &address, last_reason &why) -> std::optional<std::uint16_t>;
 
-    /// Takes no new connections from now on, and closes each connection after its answer.
+    /// Stops accepting connections, and closes each open connection after its answer.
     auto stopAccepting() -> void;
 
-    /// Open connections.
+    /// Number of open connections.
     [[nodiscard]] auto connections() const -> std::size_t;
 
 private:
@@ -81,12 +83,12 @@
     auto serveRequests(boost::beast::tcp_stream &stream, std::string peer) -> boost::asio::awaitable<void>;
     auto waitForRequest(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer)
         -> boost::asio::awaitable<bool>;
-    auto serveOne(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer, const std::string &peer)
+    auto serveRequest(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer, const std::string &peer)
         -> boost::asio::awaitable<bool>;
     auto readHead(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer, boost::system::error_code &error)
         -> boost::asio::awaitable<bool>;
-    auto refuse(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer, const std::string &peer,
-                boost::system::error_code error) -> boost::asio::awaitable<void>;
+    auto rejectRequest(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer, const std::string &peer,
+                       boost::system::error_code error) -> boost::asio::awaitable<void>;
     auto runHandler(http_exchange &exchange) -> boost::asio::awaitable<void>;
 
     boost::asio::io_context &m_context;
@@ -95,8 +97,8 @@
     std::string m_name;
     http_limits m_limits;
     session_concurrency m_concurrency;
-    std::function<bool()> m_takesMore;
-    counter &m_turnedAway;
+    std::function<bool()> m_connectionGate;
+    counter &m_refusedConnections;
     tcp::acceptor m_acceptor;
     std::atomic<bool> m_stopping = false;
     std::atomic<std::size_t> m_connections = 0;
--- a/include/marjoramloom/router/http_server.inl
+++ b/include/marjoramloom/router/http_server.inl
@@ -15,14 +15,15 @@
 
 namespace marjoramloom {
 
-/// How long an idle connection stays open once its server stops.
+/// How long an idle connection stays open after stopAccepting().
 constexpr auto idleCloseDelay = std::chrono::seconds(2);
-/// Connections that may wait to be accepted. A router that is overloaded accepts some hundred a second, and a caller
-/// that is not accepted within a second turns to another router; one that waits in a longer queue learns of nothing.
-constexpr int listenQueue = 128;
-/// Connections that are accepted in one go, so that a server that is behind with its work still takes new ones.
-constexpr std::size_t acceptBatch = 128;
-/// Pause after an accept that failed, as when no file descriptor is free.
+/// Backlog of the listening socket. An overloaded router accepts some hundred connections a second, and a caller that
+/// is not accepted within a second retries on another router. In a longer backlog, callers would wait without an
+/// answer.
+constexpr int listenBacklog = 128;
+/// Connections accepted in one iteration of the event loop, so that an overloaded server still accepts new connections.
+constexpr std::size_t maxAcceptBatch = 128;
+/// Delay after a failed accept, for example when no file descriptor is free.
 constexpr auto acceptRetryDelay = std::chrono::milliseconds(50);
 
 template<http_handler Handler>
@@ -34,7 +35,7 @@
     , m_name(std::move(name))
     , m_limits(limits)
     , m_concurrency(concurrency)
-    , m_turnedAway(counters.at("marjoramloom_connections_turned_away_total", "listener=\"" + m_name + "\""))
+    , m_refusedConnections(counters.at("marjoramloom_connections_turned_away_total", "listener=\"" + m_name + "\""))
     , m_acceptor(makeExecutor())
 {
 }
@@ -53,7 +54,7 @@
         m_acceptor.bind(*endpoint, error);
     }
     if (!error) {
-        m_acceptor.listen(listenQueue, error);
+        m_acceptor.listen(listenBacklog, error);
     }
     if (error) {
         return why.fail(failure_kind::unavailable, "listen", address, error.message());
@@ -71,9 +72,9 @@
 }
 
 template<http_handler Handler>
-auto http_server<Handler>::setGate(std::function<bool()> takesMore) -> void
+auto http_server<Handler>::setConnectionGate(std::function<bool()> mayAccept) -> void
 {
-    m_takesMore = std::move(takesMore);
+    m_connectionGate = std::move(mayAccept);
 }
 
 template<http_handler Handler>
@@ -102,13 +103,13 @@
         auto socket = tcp::socket(makeExecutor());
         co_await m_acceptor.async_accept(socket, boost::asio::redirect_error(boost::asio::use_awaitable, error));
         for (auto accepted = std::size_t(1); !error; ++accepted) {
-            if (m_takesMore && !m_takesMore()) {
-                m_turnedAway.add();
+            if (m_connectionGate && !m_connectionGate()) {
+                m_refusedConnections.add();
                 socket.close(error);
             } else {
                 spawnConnection(std::move(socket));
             }
-            if (accepted == acceptBatch) {
+            if (accepted == maxAcceptBatch) {
                 break;
             }
             socket = tcp::socket(makeExecutor());
@@ -125,7 +126,7 @@
 template<http_handler Handler>
 auto http_server<Handler>::makeExecutor() const -> boost::asio::any_io_executor
 {
-    if (m_concurrency == session_concurrency::oneThread) {
+    if (m_concurrency == session_concurrency::singleThread) {
         return m_context.get_executor();
     }
     return boost::asio::make_strand(m_context);
@@ -166,13 +167,13 @@
 {
     auto buffer = boost::beast::flat_buffer();
     while (co_await waitForRequest(stream, buffer)) {
-        if (!co_await serveOne(stream, buffer, peer)) {
+        if (!co_await serveRequest(stream, buffer, peer)) {
             co_return;
         }
     }
 }
 
-/// Waits for the first byte of a request; false once the connection is to be closed.
+/// Waits for the first bytes of a request. Returns false if the connection is to be closed.
 template<http_handler Handler>
 auto http_server<Handler>::waitForRequest(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer)
     -> boost::asio::awaitable<bool>
@@ -206,8 +207,8 @@
 }
 
 template<http_handler Handler>
-auto http_server<Handler>::serveOne(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer,
-                                    const std::string &peer) -> boost::asio::awaitable<bool>
+auto http_server<Handler>::serveRequest(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer,
+                                        const std::string &peer) -> boost::asio::awaitable<bool>
 {
     auto parser = boost::beast::http::request_parser<boost::beast::http::string_body>();
     parser.body_limit(m_limits.bodyBytes);
@@ -216,25 +217,26 @@
     stream.expires_after(m_limits.headerTimeout);
     if (!co_await readHead(stream, buffer, error)) {
         stream.expires_never();
-        co_await refuse(stream, buffer, peer, error);
+        co_await rejectRequest(stream, buffer, peer, error);
         co_return false;
     }
     co_await boost::beast::http::async_read(stream, buffer, parser,
                                             boost::asio::redirect_error(boost::asio::use_awaitable, error));
     stream.expires_never();
     if (error) {
-        co_await refuse(stream, buffer, peer, error);
+        co_await rejectRequest(stream, buffer, peer, error);
         co_return false;
     }
     auto exchange = http_exchange(stream, buffer, parser.release(), peer, m_limits.idleTimeout);
-    if (m_stopping || m_connections > m_limits.keptConnections) {
-        exchange.closeAfterwards();
+    if (m_stopping || m_connections > m_limits.maxKeepAliveConnections) {
+        exchange.closeAfterAnswer();
     }
     co_await runHandler(exchange);
     co_return exchange.reusable() && !m_stopping;
 }
 
-/// Reads until the head of the request is whole and checks it; false and an error where it is not to be served.
+/// Reads the complete head of the request and validates it. Returns false and sets \p error if the request cannot be
+/// served.
 template<http_handler Handler>
 auto http_server<Handler>::readHead(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer,
                                     boost::system::error_code &error) -> boost::asio::awaitable<bool>
@@ -243,7 +245,7 @@
     while (true) {
         const auto bytes = std::string_view(static_cast<const char *>(buffer.data().data()), buffer.size());
         const auto state = checkRequestHead(bytes);
-        if (state == head_state::sound) {
+        if (state == head_state::valid) {
             co_return true;
         }
         if (state == head_state::malformed) {
@@ -264,8 +266,8 @@
 }
 
 template<http_handler Handler>
-auto http_server<Handler>::refuse(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer,
-                                  const std::string &peer, boost::system::error_code error)
+auto http_server<Handler>::rejectRequest(boost::beast::tcp_stream &stream, boost::beast::flat_buffer &buffer,
+                                         const std::string &peer, boost::system::error_code error)
     -> boost::asio::awaitable<void>
 {
     m_counters.at("marjoramloom_bad_requests_total", "listener=\"" + m_name + "\"").add();
@@ -286,7 +288,7 @@
     }
     answer.headers.emplace_back("X-Not-Run", "invalid_input");
     auto exchange = http_exchange(stream, buffer, {}, peer, m_limits.headerTimeout);
-    exchange.closeAfterwards();
+    exchange.closeAfterAnswer();
     co_await exchange.reply(std::move(answer));
 }
 
@@ -305,9 +307,9 @@
     auto why = last_reason();
     why.fail(failure_kind::internal, "handle request", exchange.peer(), failure);
     log_line(log_level::error, "handler_failed").with("peer", exchange.peer()).with("detail", failure);
-    exchange.closeAfterwards();
+    exchange.closeAfterAnswer();
     if (exchange.answered()) {
-        exchange.abandonEvents();
+        exchange.abortEvents();
     } else {
         auto answer = errorReply(why);
         co_await exchange.reply(std::move(answer));
--- a/include/marjoramloom/router/model_handler.h
+++ b/include/marjoramloom/router/model_handler.h
@@ -9,11 +9,11 @@
 class completion_body;
 struct admitted_request;
 
-/// Serves `POST /v1/chat/completions`. Thread safe.
+/// Serves `POST /v1/chat/completions`: requests to model services. Thread safe.
 class model_handler
 {
 public:
-    /// Precondition: what \p context refers to outlives the handler.
+    /// Precondition: the objects that \p context refers to outlive the handler.
     explicit model_handler(request_context &context);
 
     auto handle(http_exchange &exchange) -> boost::asio::awaitable<void>;
@@ -21,7 +21,7 @@
 private:
     auto makeRequest(const admitted_request &admitted, const completion_body &body, const http_exchange &exchange) const
         -> model_request;
-    auto carryOut(http_exchange &exchange, model_request request, bool stream) -> boost::asio::awaitable<void>;
+    auto runCall(http_exchange &exchange, model_request request, bool stream) -> boost::asio::awaitable<void>;
     auto finish(http_exchange &exchange, answer_writer &writer, const model_request &request, const call_result &result)
         -> boost::asio::awaitable<void>;
     auto count(const model_request &request, const call_result &result) -> void;
--- a/include/marjoramloom/router/operator_handler.h
+++ b/include/marjoramloom/router/operator_handler.h
@@ -10,12 +10,13 @@
 
 namespace marjoramloom {
 
-/// Answers operators: metrics and health without a key, the configuration and status with the operators' key.
-/// Thread safe.
+/// Serves the operators' listener: metrics and health checks without a key, configuration and status with the
+/// operators' key. Thread safe.
 class operator_handler
 {
 public:
-    /// Precondition: all outlive the handler.
+    /// Precondition: all referenced objects outlive the handler. \p keyHash is the SHA-256 of the operators' key,
+    /// hexadecimal.
     operator_handler(operator_api<store_client> &api, counter_registry &counters, std::atomic<bool> &ready,
                      std::string keyHash);
 
--- a/include/marjoramloom/router/order_handler.h
+++ b/include/marjoramloom/router/order_handler.h
@@ -13,31 +13,32 @@
 
 struct admitted_request;
 
-/// Serves calls that may not be repeated: each runs at most once for its Idempotency-Key, in the whole fleet.
+/// Serves calls to services that are not repeatable (orders): each runs at most once in the whole fleet for its
+/// Idempotency-Key.
 ///
-/// An accepted order is carried out even where its caller leaves: the caller gets the stored answer when it asks again.
-/// Thread safe.
+/// An admitted order is executed even if its caller disconnects. The caller gets the stored answer when it retries with
+/// the same key. Thread safe.
 class order_handler
 {
 public:
-    /// Precondition: what \p context refers to, \p platform and \p counters outlive the handler.
+    /// Precondition: the objects that \p context refers to, \p platform and \p counters outlive the handler.
     order_handler(request_context &context, store_client &platform, const member &self, counter_registry &counters);
 
-    /// Precondition: the admitted service is not repeatable.
+    /// Runs the order, or replies with its stored outcome. Precondition: the admitted service is not repeatable.
     auto handle(http_exchange &exchange, const admitted_request &admitted, plain_request request)
         -> boost::asio::awaitable<void>;
 
-    /// Stores outcomes that could not be stored at once. Runs until the process ends.
+    /// Stores outcomes that could not be stored when their calls ended. Runs until the process ends.
     auto run() -> boost::asio::awaitable<void>;
 
-    /// Orders without a stored outcome, for operators. Reads all order records of the platform.
+    /// Returns the orders without a stored outcome, for operators. Reads all order records of the platform.
     auto openOrders() -> boost::asio::awaitable<boost::json::object>;
 
-    /// Outcomes that are not stored yet.
+    /// Number of outcomes that are not stored yet.
     [[nodiscard]] auto unsettled() const -> std::size_t;
 
 private:
-    auto carryOut(const admitted_request &admitted, plain_request request, order_permit permit)
+    auto runCall(const admitted_request &admitted, plain_request request, order_permit permit)
         -> boost::asio::awaitable<plain_result>;
     auto replyTo(const order_admission &admission, const last_reason &why) const -> http_reply;
 
--- a/include/marjoramloom/router/request_context.h
+++ b/include/marjoramloom/router/request_context.h
@@ -11,7 +11,7 @@
 
 namespace marjoramloom {
 
-/// What handlers of callers' requests share. Everything here is thread safe and outlives the handlers.
+/// Objects that the handlers of callers' requests share. All are thread safe and outlive the handlers.
 struct request_context
 {
     const settings &config;
@@ -19,7 +19,7 @@
     ticket_queue &tickets;
     call_environment &calls;
     counter_registry &counters;
-    std::atomic<bool> &ready; ///< The configuration is known and no stop has begun.
+    std::atomic<bool> &ready; ///< The configuration is up to date and the router is not stopping.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/router/request_head.h
+++ b/include/marjoramloom/router/request_head.h
@@ -4,15 +4,16 @@
 
 namespace marjoramloom {
 
-/// What the first bytes on a connection are.
+/// Result of checkRequestHead().
 enum class head_state {
-    incomplete, ///< Sound so far.
-    sound,
-    malformed, ///< Two readers of these bytes could disagree on what the request is.
+    incomplete, ///< Valid so far; the end of the head is missing.
+    valid,
+    malformed, ///< Two parsers could interpret the head differently, as in request smuggling.
 };
 
-/// Checks the head of an HTTP/1.1 request more strictly than a parser needs to: a line may be folded nowhere and ends
-/// with CR LF, names and colons are not separated, and exactly one field tells the length of the body. Thread safe.
+/// Validates the head of an HTTP/1.1 request, which may be followed by body bytes. The rules are stricter than those of
+/// a parser: lines end with CR LF and are not folded, no space precedes a colon, and at most one field gives the length
+/// of the body. Thread safe.
 auto checkRequestHead(std::string_view bytes) -> head_state;
 
 } // namespace marjoramloom
--- a/include/marjoramloom/router/router_process.h
+++ b/include/marjoramloom/router/router_process.h
@@ -6,7 +6,8 @@
 
 namespace marjoramloom {
 
-/// One router: listeners, links to peers and platform, and the decisions between them.
+/// One router: its listeners, its connections to other routers and the platform, and the components that admit,
+/// dispatch and run requests.
 class router_process
 {
 public:
@@ -15,15 +16,16 @@
     router_process(const router_process &) = delete;
     auto operator=(const router_process &) -> router_process & = delete;
 
-    /// Opens the listeners. False with the reason where an address cannot be had. Call once, before run().
+    /// Opens the listeners. Returns false and sets \p why if one cannot listen on its address. Call once, before run().
     auto start(last_reason &why) -> bool;
 
-    /// Serves until SIGTERM or SIGINT, then finishes every waiting and running request. Blocks.
+    /// Serves until SIGTERM or SIGINT, then finishes the waiting and running requests, at most for
+    /// settings::drainLimit. Blocks.
     auto run() -> void;
 
 private:
-    struct parts;
-    std::unique_ptr<parts> m_parts;
+    struct components;
+    std::unique_ptr<components> m_components;
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/router/router_view.h
+++ b/include/marjoramloom/router/router_view.h
@@ -9,19 +9,19 @@
 
 namespace marjoramloom {
 
-/// The accepted configuration with the look-ups that the path of a request needs. Immutable, thread safe.
+/// The active configuration with indexes for the look-ups that serving a request needs. Immutable and thread safe.
 class router_view
 {
 public:
-    /// Precondition: \p contracts is not null.
-    explicit router_view(std::shared_ptr<const configuration> contracts);
+    /// Precondition: \p config is not null.
+    explicit router_view(std::shared_ptr<const configuration> config);
 
-    [[nodiscard]] auto contracts() const -> const configuration &;
+    [[nodiscard]] auto config() const -> const configuration &;
 
-    /// The account that owns the bearer key \p token, or null.
-    [[nodiscard]] auto accountOfKey(std::string_view token) const -> const client_account *;
+    /// Returns the account that owns the bearer key \p token, or null.
+    [[nodiscard]] auto findAccountByKey(std::string_view token) const -> const client_account *;
 
-    /// Look-ups by name or id; null where there is none.
+    /// Look-ups by name or id. They return null if there is no such object.
     [[nodiscard]] auto findService(const std::string &name) const -> const service *;
     [[nodiscard]] auto findProfile(const std::string &name) const -> const profile *;
     [[nodiscard]] auto findServer(object_id id) const -> const backend_server *;
@@ -30,7 +30,7 @@
     [[nodiscard]] auto findAccount(object_id id) const -> const client_account *;
 
 private:
-    std::shared_ptr<const configuration> m_contracts;
+    std::shared_ptr<const configuration> m_config;
     std::unordered_map<std::string, const client_account *> m_accountByKeyHash;
     std::unordered_map<object_id, const backend_server *> m_serverById;
     std::unordered_map<object_id, const service *> m_serviceById;
--- a/include/marjoramloom/router/server_watch.h
+++ b/include/marjoramloom/router/server_watch.h
@@ -18,47 +18,47 @@
 class start_gate;
 class ticket_queue;
 
-/// Learns which backend servers take no new work, from the platform's instance list, planned stops, the servers' own
-/// answers and other routers, and tells the dispatchers and the other routers.
+/// Tracks which backend servers accept no new requests, and reports changes to the dispatchers and to other routers.
 ///
-/// Belongs to the decision strand; not thread safe but for noteLeaving().
+/// Sources are the platform's instance list, planned stops in the configuration, the servers' own responses and notices
+/// of other routers. Call all functions on the decision strand; only noteLeaving() is thread safe.
 class server_watch
 {
 public:
     using strand_type = ticket_queue::strand_type;
 
-    /// Precondition: all outlive the watch.
+    /// Precondition: all referenced objects outlive the watch.
     server_watch(strand_type strand, store_client &platform, dispatch_service &dispatch, ticket_queue &tickets,
                  peer_links &links, start_gate &gate);
 
-    /// Takes over a new configuration with its planned stops.
+    /// Applies a new configuration and its planned stops.
     auto setView(std::shared_ptr<const router_view> view) -> void;
 
-    /// Reads the instance list again and again.
+    /// Reads the platform's instance list periodically. Does not complete.
     auto pollInstances() -> boost::asio::awaitable<void>;
 
-    /// A backend server refused a call because it is leaving. Thread safe.
+    /// Records that a backend server refused a call because it is leaving. Thread safe.
     auto noteLeaving(object_id server) -> void;
 
-    /// Handles other routers' notices.
+    /// Handles the server notices in a message from another router.
     auto receive(const wire::Envelope &message) -> void;
 
-    /// A router joined: it is told what holds now.
+    /// Sends the current server notices to a router that joined.
     auto onMember(const member_event &event) -> void;
 
-    /// Begins and ends planned stops, and polls the loads of the servers that this router dispatches to. To be called
-    /// several times a second.
+    /// Begins and ends planned stops, and updates the set of servers whose loads are polled. Call several times a
+    /// second.
     auto tick() -> void;
 
-    /// Ends the polls. The watch is not used afterwards.
+    /// Stops polling loads. Do not use the watch afterwards.
     auto stop() -> void;
 
 private:
-    auto apply() -> void;
+    auto applyStops() -> void;
     auto applyPhase(object_id server, stop_phase phase) -> void;
-    auto absorb(const server_notice &notice, incarnation_id heardFrom) -> void;
-    auto tell(incarnation_id peer, const std::vector<server_notice> &notices) -> void;
-    auto watchLoads() -> void;
+    auto handleNotice(const server_notice &notice, incarnation_id sender) -> void;
+    auto sendNotices(incarnation_id peer, const std::vector<server_notice> &notices) -> void;
+    auto updatePolledServers() -> void;
 
     strand_type m_strand;
     store_client &m_platform;
@@ -68,9 +68,9 @@
     start_gate &m_gate;
     std::shared_ptr<const router_view> m_view;
     stop_calendar m_calendar;
-    std::map<object_id, stop_phase> m_phases; ///< Of servers that are not open, as told to the dispatchers.
-    std::shared_ptr<load_watch> m_loads;
-    std::set<object_id> m_watched; ///< Servers whose load is polled.
+    std::map<object_id, stop_phase> m_phases; ///< Phases last applied, of servers that are not open.
+    std::shared_ptr<load_watch> m_loadWatch;
+    std::set<object_id> m_polledServers; ///< Servers whose load is polled.
 };
 
 } // namespace marjoramloom
--- a/include/marjoramloom/router/status_report.h
+++ b/include/marjoramloom/router/status_report.h
@@ -12,16 +12,15 @@
 class dispatch_service;
 class peer_links;
 
-/// What operators see of the fleet from one router: itself and every member it knows, with their configuration.
-/// Thread safe.
+/// Reports this router's state and the fleet members that it knows, with their configuration sequences. Thread safe.
 class status_report
 {
 public:
-    /// Precondition: all outlive the report.
+    /// Precondition: all referenced objects outlive the report.
     status_report(ticket_queue::strand_type strand, peer_links &links, configuration_store &store,
                   dispatch_service &dispatch, ticket_queue &tickets);
 
-    /// The report as JSON.
+    /// Returns the report as JSON.
     auto json() -> boost::asio::awaitable<boost::json::object>;
 
 private:
--- a/include/marjoramloom/router/ticket_queue.h
+++ b/include/marjoramloom/router/ticket_queue.h
@@ -20,98 +20,103 @@
 
 namespace marjoramloom {
 
-/// How a ticket queue reaches the dispatchers of pools, wherever they are. All are called on the decision strand.
+/// Callbacks through which a ticket queue reaches the dispatchers, on this router or another one. All are called on the
+/// decision strand.
 struct dispatch_port
 {
     std::function<void(const ticket &)> submit;
     std::function<void(const pool_id &pool, ticket_id)> withdraw;
-    std::function<void(const grant &, double cost, double growth)> progress; ///< Used in all, and since the last call.
-    std::function<void(const grant &, double cost, double growth)> settle;
+    /// Reports the weighted tokens that a running request has used in total, and since the last report.
+    std::function<void(const grant &, double cost, double costDelta)> progress;
+    /// Ends a grant. Reports the weighted tokens used in total, and since the last report.
+    std::function<void(const grant &, double cost, double costDelta)> settle;
 };
 
-/// A request that holds a grant, as this router knows it.
+/// A request of this router that runs under a grant.
 struct granted_request
 {
     grant granted;
     work_length length = work_length::shortWork;
     double cost = 0; ///< Used so far, in weighted tokens.
-    double reportedCost = 0; ///< What its dispatcher was told.
-    std::shared_ptr<call_control> control; ///< Of the call.
+    double reportedCost = 0; ///< Cost last reported to its dispatcher.
+    std::shared_ptr<call_control> control; ///< Delivers suspensions and moves to the call.
 };
 
-/// This router's waiting and running requests. The requests stay here; only tickets travel.
+/// This router's waiting and running requests. Only their tickets are sent to dispatchers, not the requests.
 ///
-/// A ticket is sent again while it waits, so that a lost message, another dispatcher or a restart of one loses
-/// nothing. The first grant wins; any other one is settled at once with no cost. nextTicket(), acquire(), progress()
-/// and settle() are thread safe; the rest is to be called on the decision strand.
+/// Waiting tickets are resubmitted periodically, so that a lost message and a restart or change of the dispatcher lose
+/// none. The first grant of a ticket is used; any further one is settled at once without cost. nextTicket(), acquire(),
+/// progress(), settle(), waitingCount() and runningCount() are thread safe. Call the others on the decision strand.
 class ticket_queue
 {
 public:
+    /// Type of the decision strand, on which a router makes all of its dispatch decisions.
     using strand_type = boost::asio::strand<boost::asio::any_io_executor>;
 
-    /// Preconditions: \p counters outlives the queue, and the queue every acquire().
+    /// Preconditions: \p counters outlives the queue, and the queue outlives every acquire().
     ticket_queue(strand_type strand, incarnation_id incarnation, counter_registry &counters);
 
-    /// Sets the way to the dispatchers. Call before the first acquire().
+    /// Sets the callbacks to the dispatchers. Call before the first acquire().
     auto setPort(dispatch_port port) -> void;
 
-    /// A fresh id for the next ticket.
+    /// Returns a new ticket id.
     auto nextTicket() -> ticket_id;
 
-    /// Waits until \p waiting is granted a backend server. Nothing where it was refused, its deadline passed or the
-    /// control was cancelled, with the reason. Until settle(), suspensions of the ticket are signalled to the control.
-    /// Call on the control's executor.
+    /// Submits \p waiting and waits until a backend server is granted. Returns nothing, with the reason in \p why, if
+    /// the ticket was refused, its deadline passed or \p control was cancelled. From the grant until settle(),
+    /// suspensions of the ticket are signalled to \p control. Call on the executor of \p control.
     auto acquire(ticket waiting, std::shared_ptr<call_control> control, last_reason &why)
         -> boost::asio::awaitable<std::optional<grant>>;
 
-    /// The granted request used \p cost so far.
+    /// Records that the granted request has used \p cost so far.
     auto progress(ticket_id id, double cost) -> void;
 
-    /// The granted request ended with the total \p cost.
+    /// Ends the granted request with the total \p cost.
     auto settle(ticket_id id, double cost) -> void;
 
-    /// Asks every request that runs on \p server to go on elsewhere: the server is about to stop.
-    auto moveFrom(object_id server) -> void;
+    /// Asks every request that runs on \p server, which is about to stop, to continue on another server.
+    auto moveRequestsFrom(object_id server) -> void;
 
     auto handleGrant(const grant &granted) -> void;
     auto handleRefusal(const refusal &refused) -> void;
-    auto handleSuspension(const suspension &asked) -> void;
+    auto handleSuspension(const suspension &requested) -> void;
 
-    /// Tells dispatchers what running requests used since the last call.
+    /// Reports the use of running requests to their dispatchers, if it has grown enough since the last report.
     auto reportProgress() -> void;
 
-    /// Sends every waiting ticket again: their dispatcher changed, or messages may be lost.
+    /// Sends every waiting ticket again, because its dispatcher changed or messages may have been lost.
     auto resubmit() -> void;
 
-    /// Hands over each running request, so that a dispatcher that does not know it can adopt it.
-    [[nodiscard]] auto running() const -> std::vector<granted_request>;
+    /// Returns all running requests, so that a new dispatcher can adopt them.
+    [[nodiscard]] auto runningRequests() const -> std::vector<granted_request>;
 
     [[nodiscard]] auto waitingCount() const -> std::size_t;
     [[nodiscard]] auto runningCount() const -> std::size_t;
 
-    /// Sets a limit of waiting requests per account, and over all accounts.
+    /// Sets the maximum waiting requests of each account, and of all accounts together.
     auto setLimits(std::function<std::uint32_t(object_id)> perAccount, std::uint32_t overall) -> void;
 
 private:
+    /// A request inside acquire(), until its ticket is granted or refused.
     struct waiting_request
     {
         explicit waiting_request(const strand_type &strand)
-            : wake(strand)
+            : wakeTimer(strand)
         {
         }
 
-        ticket entry;
+        ticket waitingTicket;
         std::shared_ptr<call_control> control;
         bool cancelled = false;
-        boost::asio::steady_timer wake;
+        boost::asio::steady_timer wakeTimer; ///< Expires at the deadline; cancelled to resume acquire() earlier.
         std::optional<grant> granted;
         std::optional<refusal> refused;
     };
 
     auto acquireOnStrand(ticket waiting, std::shared_ptr<call_control> control, std::shared_ptr<last_reason> why)
         -> boost::asio::awaitable<std::optional<grant>>;
-    auto admit(const ticket &waiting, last_reason &why) -> bool;
-    auto outcome(const std::shared_ptr<waiting_request> &request, last_reason &why) -> std::optional<grant>;
+    auto checkLimits(const ticket &waiting, last_reason &why) -> bool;
+    auto endWait(const std::shared_ptr<waiting_request> &request, last_reason &why) -> std::optional<grant>;
     auto cancelOnStrand(ticket_id id) -> void;
     auto settleOnStrand(ticket_id id, double cost) -> void;
 
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -158,7 +158,7 @@
     if (outcome == attempt_outcome::callerDisconnected) {
         logCompletion("caller left", 0);
         if (!m_exchange.answered()) {
-            m_exchange.drop();
+            m_exchange.closeWithoutAnswer();
         }
     } else if (outcome != attempt_outcome::answered) {
         co_await answerFailure();
@@ -290,7 +290,7 @@
 /// server may have changed, above all if the machine was suspended.
 auto gateway_call::canStillSend(const chosen_server &chosen, last_reason &why) -> bool
 {
-    if (m_control->cancelled() || m_exchange.callerIsGone()) {
+    if (m_control->cancelled() || m_exchange.isCallerDisconnected()) {
         why.fail(failure_kind::cancelled, "send request", chosen.server->id, "the caller left");
     } else if (remainingTime() <= answerMargin) {
         why.fail(failure_kind::deadlineExceeded, "send request", chosen.server->id, "no time left");
@@ -403,7 +403,7 @@
     head.result(status);
     platform::copyAnswerFields(from, head);
     noteAnswered(status);
-    co_await m_exchange.relayWhole(head, *body);
+    co_await m_exchange.relayComplete(head, *body);
     co_return attempt_outcome::answered;
 }
 
@@ -430,7 +430,7 @@
     startStreaming(attempt);
     m_state.loads.noteSuccess(*attempt.chosen.server);
     noteAnswered(attempt.connection->status());
-    co_await m_exchange.relayEnd();
+    co_await m_exchange.finishRelay();
     co_return attempt_outcome::answered;
 }
 
@@ -443,7 +443,7 @@
     auto head = http::response_header<>();
     head.result(attempt.connection->head().result_int());
     platform::copyAnswerFields(attempt.connection->head(), head);
-    m_exchange.relayHead(head);
+    m_exchange.beginRelay(head);
     m_streaming = true;
 }
 
@@ -473,7 +473,7 @@
         co_return attempt_outcome::answered;
     }
     startStreaming(attempt);
-    co_return co_await m_exchange.relayPiece(events) ? attempt_outcome::answered : attempt_outcome::callerDisconnected;
+    co_return co_await m_exchange.relayChunk(events) ? attempt_outcome::answered : attempt_outcome::callerDisconnected;
 }
 
 /// Counts a failed attempt, with the reason in m_why, as a failure of the server. If the caller has disconnected, the
@@ -496,7 +496,7 @@
     if (m_streaming) {
         m_state.truncatedStreams.add();
         logCompletion("cut: " + m_why.text(), 200);
-        m_exchange.abandonEvents();
+        m_exchange.abortEvents();
         co_return;
     }
     if (!m_mayHaveRun) {
--- a/src/gateway/gateway_handler.cpp
+++ b/src/gateway/gateway_handler.cpp
@@ -36,19 +36,19 @@
         co_return;
     }
     request->arrived = boot_clock::now();
-    if (exchange.callerIsGone()) {
+    if (exchange.isCallerDisconnected()) {
         // An overloaded router reads requests late. Requests whose callers have disconnected are dropped, so that they
         // do not delay others further.
         m_state.abandonedRequests.add();
         log_line(log_level::info, "caller_gone").with("request", request->id);
-        exchange.drop();
+        exchange.closeWithoutAnswer();
         co_return;
     }
     if (m_state.stopping) {
-        exchange.closeAfterwards();
+        exchange.closeAfterAnswer();
     }
     if (m_state.loopDelay.isOverloaded(system_clock_source().now())) {
-        exchange.closeAfterwards();
+        exchange.closeAfterAnswer();
         co_await refuse(exchange, *request, unavailable, "this router is behind with its work");
         co_return;
     }
@@ -90,7 +90,7 @@
         gateway_call(m_state, m_dispatch, exchange, std::move(request), m_state.routes, route, std::move(account));
     auto control = call_control::make(co_await asio::this_coro::executor);
     ++m_state.running;
-    co_await (call.run(control) || cancelWhenCallerLeaves(exchange, control));
+    co_await (call.run(control) || cancelOnCallerDisconnect(exchange, control));
     --m_state.running;
 }
 
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -70,7 +70,8 @@
              .headerBytes = limits.headerBytes,
              .headerTimeout = limits.headerTimeout,
              .idleTimeout = limits.idleTimeout,
-             .keptConnections = static_cast<std::size_t>(settings.maxFileDescriptors * idleConnectionFraction) };
+             .maxKeepAliveConnections =
+                 static_cast<std::size_t>(settings.maxFileDescriptors * idleConnectionFraction) };
 }
 
 } // namespace
@@ -117,9 +118,9 @@
     , callerHandler(state, exchange.dispatch())
     , statusHandler(ready, counters)
     , callerServer(std::make_shared<http_server<gateway_handler>>(context, callerHandler, counters, "callers",
-                                                                  http_limits(), session_concurrency::oneThread))
+                                                                  http_limits(), session_concurrency::singleThread))
     , statusServer(std::make_shared<http_server<status_handler>>(context, statusHandler, counters, "operators",
-                                                                 http_limits(), session_concurrency::oneThread))
+                                                                 http_limits(), session_concurrency::singleThread))
     , feed(context.get_executor(), store, state,
            { .onRoutes = [this] { callerServer->setLimits(httpLimits(state.routes->limits(), state.settings)); },
              .onStoreChange =
@@ -138,7 +139,7 @@
                                     [this](const auto &update) {
                                         relay.onUpdate(update);
                                     } });
-    callerServer->setGate([this] { return !state.loopDelay.isOverloaded(system_clock_source().now()); });
+    callerServer->setConnectionGate([this] { return !state.loopDelay.isOverloaded(system_clock_source().now()); });
     counters.setGauge("marjoramloom_log_lines_dropped", "", [] { return static_cast<double>(droppedLogLines()); });
 }
 
--- a/src/router/admission.cpp
+++ b/src/router/admission.cpp
@@ -5,7 +5,7 @@
 auto authenticate(const std::shared_ptr<const router_view> &view, const http_exchange &exchange, last_reason &why)
     -> const client_account *
 {
-    const auto *account = view->accountOfKey(exchange.bearerToken());
+    const auto *account = view->findAccountByKey(exchange.bearerToken());
     if (!account) {
         why.fail(failure_kind::unauthorized, "authenticate", exchange.peer(), "no client account has this key");
     }
--- a/src/router/answer_writer.cpp
+++ b/src/router/answer_writer.cpp
@@ -61,7 +61,7 @@
     if (m_exchange.answered()) {
         auto event = streamError(m_requestId, result.reason);
         co_await m_exchange.writeEvent(std::move(event));
-        m_exchange.abandonEvents();
+        m_exchange.abortEvents();
         co_return;
     }
     auto answer = result.state == call_state::notRun ? notRunReply(result.reason) : errorReply(result.reason);
--- a/src/router/caller_handler.cpp
+++ b/src/router/caller_handler.cpp
@@ -8,8 +8,8 @@
 
 caller_handler::caller_handler(request_context &context, order_handler &orders)
     : m_context(context)
-    , m_models(context)
-    , m_services(context, orders)
+    , m_modelHandler(context)
+    , m_plainHandler(context, orders)
 {
 }
 
@@ -21,18 +21,18 @@
         co_await exchange.reply(std::move(*health));
         co_return;
     }
-    if (m_context.view.read()->contracts().sequence == 0) {
+    if (m_context.view.read()->config().sequence == 0) {
         auto why = last_reason();
         why.fail(failure_kind::unavailable, "route request", exchange.peer(), "this router has no configuration yet");
         co_await exchange.reply(notRunReply(why));
         co_return;
     }
     if (target == "/v1/chat/completions" && method == boost::beast::http::verb::post) {
-        co_await m_models.handle(exchange);
+        co_await m_modelHandler.handle(exchange);
         co_return;
     }
     if (target.starts_with(plain_handler::servicesPrefix)) {
-        co_await m_services.handle(exchange);
+        co_await m_plainHandler.handle(exchange);
         co_return;
     }
     auto why = last_reason();
@@ -47,11 +47,11 @@
     if (target != "/healthz" && target != "/readyz") {
         return std::nullopt;
     }
-    const auto good = target == "/healthz" || ready;
+    const auto healthy = target == "/healthz" || ready;
     auto answer = http_reply();
-    answer.status = good ? 200 : 503;
+    answer.status = healthy ? 200 : 503;
     answer.contentType = "text/plain";
-    answer.body = good ? "ok\n" : "not ready\n";
+    answer.body = healthy ? "ok\n" : "not ready\n";
     return answer;
 }
 
--- a/src/router/caller_watch.cpp
+++ b/src/router/caller_watch.cpp
@@ -8,12 +8,12 @@
 
 namespace asio = boost::asio;
 
-auto cancelWhenCallerLeaves(http_exchange &exchange, std::shared_ptr<call_control> control) -> asio::awaitable<void>
+auto cancelOnCallerDisconnect(http_exchange &exchange, std::shared_ptr<call_control> control) -> asio::awaitable<void>
 {
-    co_await exchange.waitForCallerToLeave();
+    co_await exchange.waitForCallerDisconnect();
     control->cancel();
-    auto forever = asio::steady_timer(co_await asio::this_coro::executor, time_point::max());
-    co_await forever.async_wait(asio::use_awaitable);
+    auto neverExpires = asio::steady_timer(co_await asio::this_coro::executor, time_point::max());
+    co_await neverExpires.async_wait(asio::use_awaitable);
 }
 
 } // namespace marjoramloom
--- a/src/router/caller_watch.h
+++ b/src/router/caller_watch.h
@@ -7,9 +7,9 @@
 
 namespace marjoramloom {
 
-/// Cancels \p control once the caller closed its connection. Ends only by cancellation, so that a call beside it always
-/// ends first. Call on the connection's strand.
-auto cancelWhenCallerLeaves(http_exchange &exchange, std::shared_ptr<call_control> control)
+/// Cancels \p control when the caller closes its connection. Completes only by cancellation, so that the call that is
+/// awaited together with it always completes first. Call on the connection's strand.
+auto cancelOnCallerDisconnect(http_exchange &exchange, std::shared_ptr<call_control> control)
     -> boost::asio::awaitable<void>;
 
 } // namespace marjoramloom
--- a/src/router/dispatch_messages.h
+++ b/src/router/dispatch_messages.h
@@ -9,7 +9,7 @@
 
 namespace detail {
 
-/// Hands over each of \p items that \p decode can read; the reason of each other one goes to \p reject.
+/// Decodes each of \p items with \p decode. Calls \p accept with the result, or \p reject with the reason of a failure.
 auto forEachDecoded(const auto &items, auto &&decode, auto &&accept, auto &&reject) -> void
 {
     auto why = last_reason();
@@ -24,36 +24,38 @@
 
 } // namespace detail
 
-/// Hands the messages between ticket queues and dispatchers in \p message to \p taker, one by one, and what makes no
-/// sense to its reject(). Requests that run come before tickets, so that none is granted twice.
-template<typename Taker>
-auto readDispatchMessages(const wire::Envelope &message, time_point now, const std::string &peer, Taker &taker) -> void
+/// Decodes the items in \p message that ticket queues and dispatchers exchange, and calls the function of \p handler
+/// for each. Items that cannot be decoded go to its reject(). Running requests are handled before tickets, so that a
+/// dispatcher does not grant a ticket whose request already runs.
+template<typename Handler>
+auto readDispatchMessages(const wire::Envelope &message, time_point now, const std::string &peer, Handler &handler)
+    -> void
 {
-    const auto plain = [&taker](const auto &item) {
-        taker.take(item);
+    const auto accept = [&handler](const auto &item) {
+        handler.handle(item);
     };
-    const auto reject = [&taker](const last_reason &why) {
-        taker.reject(why);
+    const auto reject = [&handler](const last_reason &why) {
+        handler.reject(why);
     };
-    const auto read = [&](const auto &items, auto *decoder, auto &&accept) {
+    const auto read = [&](const auto &items, auto *decoder, auto &&acceptItem) {
         const auto decode = [&](const auto &item, last_reason &why) {
             return decoder(item, peer, why);
         };
-        detail::forEachDecoded(items, decode, accept, reject);
+        detail::forEachDecoded(items, decode, acceptItem, reject);
     };
     const auto readTicket = [&](const wire::Ticket &item, last_reason &why) {
         return decodeTicket(item, now, peer, why);
     };
-    read(message.running(), decodeRunning, plain);
-    detail::forEachDecoded(message.tickets(), readTicket, plain, reject);
-    read(message.withdrawals(), decodeTicketId, [&](ticket_id id) { taker.takeWithdrawal(id); });
-    read(message.grants(), decodeGrant, plain);
-    read(message.refusals(), decodeRefusal, plain);
-    read(message.suspensions(), decodeSuspension, plain);
-    read(message.progress(), decodeProgress, [&](const request_use &use) { taker.takeProgress(use); });
-    read(message.settlements(), decodeSettlement, [&](const request_use &use) { taker.takeSettlement(use); });
-    read(message.pulls(), decodePull, plain);
-    read(message.samples(), decodeSample, plain);
+    read(message.running(), decodeRunning, accept);
+    detail::forEachDecoded(message.tickets(), readTicket, accept, reject);
+    read(message.withdrawals(), decodeTicketId, [&](ticket_id id) { handler.handleWithdrawal(id); });
+    read(message.grants(), decodeGrant, accept);
+    read(message.refusals(), decodeRefusal, accept);
+    read(message.suspensions(), decodeSuspension, accept);
+    read(message.progress(), decodeProgress, [&](const request_use &use) { handler.handleProgress(use); });
+    read(message.settlements(), decodeSettlement, [&](const request_use &use) { handler.handleSettlement(use); });
+    read(message.pulls(), decodePull, accept);
+    read(message.samples(), decodeSample, accept);
 }
 
 } // namespace marjoramloom
--- a/src/router/dispatch_service.cpp
+++ b/src/router/dispatch_service.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// Ticks between two reports of running requests' use.
+/// Ticks between two reports of the cost of running requests.
 constexpr std::uint64_t progressTicks = 4;
-/// Ticks between two rounds in which waiting tickets are sent again.
+/// Ticks between two resubmissions of the waiting tickets.
 constexpr std::uint64_t resubmitTicks = 100;
-/// Ticks between two lists of all running requests.
+/// Ticks between two transmissions of the complete list of running requests.
 constexpr std::uint64_t confirmTicks = 200;
 /// Ticks between two digests.
 constexpr std::uint64_t digestTicks = 10;
@@ -40,10 +40,10 @@
     , m_grants(counters.at("marjoramloom_grants_total"))
     , m_suspensions(counters.at("marjoramloom_suspensions_total"))
     , m_pulls(counters.at("marjoramloom_pulls_total"))
-    , m_dropped(counters.at("marjoramloom_peer_messages_dropped_total"))
-    , m_rejected(counters.at("marjoramloom_peer_items_rejected_total"))
-    , m_held(m_dataCentre, limits, m_ledger)
-    , m_digests(network, {}, [this](const pool_digest &digest) { absorbDigest(digest); })
+    , m_droppedMessages(counters.at("marjoramloom_peer_messages_dropped_total"))
+    , m_rejectedItems(counters.at("marjoramloom_peer_items_rejected_total"))
+    , m_localDispatchers(m_dataCentre, limits, m_ledger)
+    , m_digests(network, {}, [this](const pool_digest &digest) { handleDigest(digest); })
     , m_totals(network, m_ledger, {})
 {
 }
@@ -59,11 +59,11 @@
     port.withdraw = [this](const pool_id &pool, ticket_id id) {
         withdraw(pool, id);
     };
-    port.progress = [this](const grant &granted, double cost, double growth) {
-        progress(granted, cost, growth);
+    port.progress = [this](const grant &granted, double cost, double costDelta) {
+        progress(granted, cost, costDelta);
     };
-    port.settle = [this](const grant &granted, double cost, double growth) {
-        settle(granted, cost, growth);
+    port.settle = [this](const grant &granted, double cost, double costDelta) {
+        settle(granted, cost, costDelta);
     };
     return port;
 }
@@ -71,19 +71,19 @@
 auto dispatch_service::setView(std::shared_ptr<const router_view> view) -> void
 {
     auto weights = std::map<object_id, double>();
-    for (const auto &[name, account] : view->contracts().clientAccounts) {
+    for (const auto &[name, account] : view->config().clientAccounts) {
         weights[account.id] = account.weight;
     }
     m_ledger.setWeights(weights);
     auto services = std::vector<object_id>();
-    for (const auto &[name, entry] : view->contracts().services) {
+    for (const auto &[name, entry] : view->config().services) {
         services.push_back(entry.id);
     }
     m_totals.setServices(std::move(services));
-    m_held.setView(std::move(view), now());
-    refreshDuties();
-    for (const auto &[pool, held] : m_held.all()) {
-        schedulePass(pool);
+    m_localDispatchers.setView(std::move(view), now());
+    refreshDispatcherRoles();
+    for (const auto &[pool, local] : m_localDispatchers.all()) {
+        scheduleDispatchPass(pool);
     }
 }
 
@@ -94,14 +94,14 @@
         m_ledger.retire(event.memberInfo.incarnation);
         m_outbox.erase(event.memberInfo.incarnation);
         m_totals.onMemberLost(event.memberInfo.incarnation);
-        for (const auto &[pool, holder] : m_held.all()) {
-            holder->removeRouter(event.memberInfo.incarnation, now());
-            schedulePass(pool);
+        for (const auto &[pool, local] : m_localDispatchers.all()) {
+            local->removeRouter(event.memberInfo.incarnation, now());
+            scheduleDispatchPass(pool);
         }
     }
-    refreshDuties();
+    refreshDispatcherRoles();
     if (!event.joined) {
-        // What was pulled by a dispatcher that is gone waits nowhere else.
+        // Tickets that a dispatcher on the lost router had pulled wait at no other dispatcher.
         m_tickets.resubmit();
     }
 }
@@ -111,55 +111,56 @@
     return m_network.self().incarnation;
 }
 
-auto dispatch_service::holderOf(const pool_id &pool) -> incarnation_id
+auto dispatch_service::dispatchingRouter(const pool_id &pool) -> incarnation_id
 {
-    const auto known = m_holders.find(pool);
-    if (known != m_holders.end()) {
-        return known->second;
+    const auto cached = m_dispatchingRouters.find(pool);
+    if (cached != m_dispatchingRouters.end()) {
+        return cached->second;
     }
-    const auto holder = findRoleHolder(m_network.members(), dispatcherRole(pool));
-    m_holders[pool] = holder;
-    return holder;
+    const auto router = findRoleHolder(m_network.members(), dispatcherRole(pool));
+    m_dispatchingRouters[pool] = router;
+    return router;
 }
 
-/// Takes up and gives up dispatchers by the duties of the members that are alive now.
-auto dispatch_service::refreshDuties() -> void
+/// Creates and destroys local dispatchers according to the roles of the current members.
+auto dispatch_service::refreshDispatcherRoles() -> void
 {
-    m_holders.clear();
-    const auto pools = m_held.ownPools();
-    auto own = std::vector<pool_id>();
+    m_dispatchingRouters.clear();
+    const auto pools = m_localDispatchers.dataCentrePools();
+    auto localPools = std::vector<pool_id>();
     for (const auto &pool : pools) {
-        if (holderOf(pool) == selfIncarnation()) {
-            own.push_back(pool);
+        if (dispatchingRouter(pool) == selfIncarnation()) {
+            localPools.push_back(pool);
         }
     }
-    m_held.hold(own, now());
+    m_localDispatchers.setPools(localPools, now());
     for (const auto &pool : pools) {
-        moveWorkTo(pool, holderOf(pool));
+        syncDispatcher(pool, dispatchingRouter(pool));
     }
 }
 
-/// Tells a dispatcher that is new to this router what it runs and what waits.
-auto dispatch_service::moveWorkTo(const pool_id &pool, incarnation_id holder) -> void
+/// Sends this router's running and waiting requests to the dispatcher of \p pool if that is new to this router.
+auto dispatch_service::syncDispatcher(const pool_id &pool, incarnation_id router) -> void
 {
-    auto &followed = m_followed[pool];
-    if (holder == 0 || holder == followed) {
+    auto &synced = m_syncedRouters[pool];
+    if (router == 0 || router == synced) {
         return;
     }
-    followed = holder;
-    tellRunning(pool, holder);
+    synced = router;
+    sendRunningRequests(pool, router);
     m_tickets.resubmit();
 }
 
-/// Lists everything that this router runs for \p pool, so that its dispatcher neither misses nor keeps a request.
-auto dispatch_service::tellRunning(const pool_id &pool, incarnation_id holder) -> void
+/// Sends the complete list of this router's running requests of \p pool to its dispatcher, which adopts those that it
+/// does not know and removes those that are not listed.
+auto dispatch_service::sendRunningRequests(const pool_id &pool, incarnation_id router) -> void
 {
-    auto *local = m_held.find(pool);
-    if (!local && (holder == 0 || holder == selfIncarnation())) {
+    auto *local = m_localDispatchers.find(pool);
+    if (!local && (router == 0 || router == selfIncarnation())) {
         return;
     }
     auto ids = std::vector<ticket_id>();
-    for (const auto &request : m_tickets.running()) {
+    for (const auto &request : m_tickets.runningRequests()) {
         if (request.granted.pool != pool) {
             continue;
         }
@@ -168,23 +169,25 @@
             local->adopt(request.granted, request.length, now());
         } else {
             const auto running = running_request{ request.granted, request.length, request.cost };
-            encode(running, *envelopeFor(holder).add_running());
+            encode(running, *envelopeFor(router).add_running());
         }
     }
     if (local) {
         local->confirmRunning(selfIncarnation(), ids, now());
     } else {
-        encode(pool, *envelopeFor(holder).add_confirmed());
+        encode(pool, *envelopeFor(router).add_confirmed());
     }
 }
 
-auto dispatch_service::takeConfirmed(incarnation_id from, const wire::Envelope &message) -> void
+/// Passes the complete list of the sender's running requests to the local dispatcher of each pool that the message
+/// confirms.
+auto dispatch_service::handleConfirmedPools(incarnation_id from, const wire::Envelope &message) -> void
 {
     auto why = last_reason();
     const auto peer = std::to_string(from);
     for (const auto &item : message.confirmed()) {
         const auto pool = decodePool(item, peer, why);
-        auto *local = pool ? m_held.find(*pool) : nullptr;
+        auto *local = pool ? m_localDispatchers.find(*pool) : nullptr;
         if (!local) {
             continue;
         }
@@ -195,18 +198,18 @@
             }
         }
         local->confirmRunning(from, ids, now());
-        schedulePass(*pool);
+        scheduleDispatchPass(*pool);
     }
 }
 
 auto dispatch_service::submit(const ticket &waiting, const pool_id &pool) -> void
 {
-    if (auto *local = m_held.find(pool)) {
+    if (auto *local = m_localDispatchers.find(pool)) {
         local->submit(waiting, now());
-        schedulePass(pool);
+        scheduleDispatchPass(pool);
         return;
     }
-    if (auto *message = envelopeToHolder(pool)) {
+    if (auto *message = envelopeToDispatcher(pool)) {
         const auto addressed = addressed_ticket{ waiting, pool };
         encode(addressed, now(), *message->add_tickets());
     }
@@ -214,37 +217,37 @@
 
 auto dispatch_service::withdraw(const pool_id &pool, ticket_id id) -> void
 {
-    if (auto *local = m_held.find(pool)) {
+    if (auto *local = m_localDispatchers.find(pool)) {
         local->withdraw(id, now());
         return;
     }
-    if (auto *message = envelopeToHolder(pool)) {
+    if (auto *message = envelopeToDispatcher(pool)) {
         encode(id, *message->add_withdrawals());
     }
 }
 
-auto dispatch_service::progress(const grant &granted, double cost, double growth) -> void
+auto dispatch_service::progress(const grant &granted, double cost, double costDelta) -> void
 {
-    m_ledger.count(selfIncarnation(), granted.account, growth);
-    if (auto *local = m_held.find(granted.pool)) {
+    m_ledger.count(selfIncarnation(), granted.account, costDelta);
+    if (auto *local = m_localDispatchers.find(granted.pool)) {
         local->progress(granted.ticket, cost, now());
         return;
     }
-    if (auto *message = envelopeToHolder(granted.pool)) {
+    if (auto *message = envelopeToDispatcher(granted.pool)) {
         const auto use = request_use{ granted.ticket, granted.pool, cost };
         encode(use, *message->add_progress());
     }
 }
 
-auto dispatch_service::settle(const grant &granted, double cost, double growth) -> void
+auto dispatch_service::settle(const grant &granted, double cost, double costDelta) -> void
 {
-    m_ledger.count(selfIncarnation(), granted.account, growth);
-    if (auto *local = m_held.find(granted.pool)) {
+    m_ledger.count(selfIncarnation(), granted.account, costDelta);
+    if (auto *local = m_localDispatchers.find(granted.pool)) {
         local->settle(granted.ticket, cost, now());
-        schedulePass(granted.pool);
+        scheduleDispatchPass(granted.pool);
         return;
     }
-    if (auto *message = envelopeToHolder(granted.pool)) {
+    if (auto *message = envelopeToDispatcher(granted.pool)) {
         const auto use = request_use{ granted.ticket, granted.pool, cost };
         encode(use, *message->add_settlements());
     }
@@ -257,39 +260,39 @@
     if (!slot) {
         slot = std::make_unique<wire::Envelope>();
     }
-    schedulePass();
+    scheduleDispatchPass();
     return *slot;
 }
 
-/// The envelope to the router that dispatches \p pool, or null where that is this router or nobody.
-auto dispatch_service::envelopeToHolder(const pool_id &pool) -> wire::Envelope *
+/// Returns the envelope to the router that dispatches \p pool, or null if that is this router or no router.
+auto dispatch_service::envelopeToDispatcher(const pool_id &pool) -> wire::Envelope *
 {
-    const auto holder = holderOf(pool);
-    return holder == 0 || holder == selfIncarnation() ? nullptr : &envelopeFor(holder);
+    const auto router = dispatchingRouter(pool);
+    return router == 0 || router == selfIncarnation() ? nullptr : &envelopeFor(router);
 }
 
-auto dispatch_service::schedulePass(const pool_id &pool) -> void
+auto dispatch_service::scheduleDispatchPass(const pool_id &pool) -> void
 {
-    m_dirty.insert(pool);
-    schedulePass();
+    m_changedPools.insert(pool);
+    scheduleDispatchPass();
 }
 
-auto dispatch_service::schedulePass() -> void
+auto dispatch_service::scheduleDispatchPass() -> void
 {
-    if (m_passScheduled) {
+    if (m_dispatchPassScheduled) {
         return;
     }
-    m_passScheduled = true;
-    asio::post(m_strand, [this] { runPass(); });
+    m_dispatchPassScheduled = true;
+    asio::post(m_strand, [this] { runDispatchPass(); });
 }
 
-auto dispatch_service::runPass() -> void
+auto dispatch_service::runDispatchPass() -> void
 {
-    m_passScheduled = false;
-    const auto dirty = std::exchange(m_dirty, {});
-    for (const auto &pool : dirty) {
-        if (auto *local = m_held.find(pool)) {
-            carryOut(local->decide(now()));
+    m_dispatchPassScheduled = false;
+    const auto changedPools = std::exchange(m_changedPools, {});
+    for (const auto &pool : changedPools) {
+        if (auto *local = m_localDispatchers.find(pool)) {
+            applyDecisions(local->decide(now()));
         }
     }
     flush();
@@ -300,42 +303,42 @@
     auto outbox = std::exchange(m_outbox, {});
     for (auto &[to, message] : outbox) {
         if (!m_network.send(to, std::move(message))) {
-            m_dropped.add();
+            m_droppedMessages.add();
         }
     }
 }
 
-auto dispatch_service::carryOut(dispatch_decisions decisions) -> void
+auto dispatch_service::applyDecisions(dispatch_decisions decisions) -> void
 {
-    for (const auto &given : decisions.grants) {
-        deliver(given);
+    for (const auto &issued : decisions.grants) {
+        deliver(issued);
     }
     for (const auto &refused : decisions.refusals) {
         deliver(refused);
     }
-    for (const auto &asked : decisions.suspensions) {
-        deliver(asked);
+    for (const auto &requested : decisions.suspensions) {
+        deliver(requested);
     }
     for (const auto &pull : decisions.pulls) {
-        ask(pull);
+        sendPull(pull);
     }
 }
 
-auto dispatch_service::deliver(const grant &given) -> void
+auto dispatch_service::deliver(const grant &issued) -> void
 {
     m_grants.add();
     log_line(log_level::info, "grant")
-        .with("router", given.ticket.router)
-        .with("ticket", given.ticket.serial)
-        .with("account", given.account.value)
-        .with("backend_server", given.server.value)
-        .with("charged", given.charged)
-        .with("reason", given.reason);
-    if (given.ticket.router == selfIncarnation()) {
-        m_tickets.handleGrant(given);
+        .with("router", issued.ticket.router)
+        .with("ticket", issued.ticket.serial)
+        .with("account", issued.account.value)
+        .with("backend_server", issued.server.value)
+        .with("charged", issued.charged)
+        .with("reason", issued.reason);
+    if (issued.ticket.router == selfIncarnation()) {
+        m_tickets.handleGrant(issued);
         return;
     }
-    encode(given, *envelopeFor(given.ticket.router).add_grants());
+    encode(issued, *envelopeFor(issued.ticket.router).add_grants());
 }
 
 auto dispatch_service::deliver(const refusal &refused) -> void
@@ -352,34 +355,34 @@
     encode(refused, *envelopeFor(refused.ticket.router).add_refusals());
 }
 
-auto dispatch_service::deliver(const suspension &asked) -> void
+auto dispatch_service::deliver(const suspension &requested) -> void
 {
     m_suspensions.add();
     log_line(log_level::info, "suspension")
-        .with("router", asked.ticket.router)
-        .with("ticket", asked.ticket.serial)
-        .with("backend_server", asked.server.value);
-    if (asked.ticket.router == selfIncarnation()) {
-        m_tickets.handleSuspension(asked);
+        .with("router", requested.ticket.router)
+        .with("ticket", requested.ticket.serial)
+        .with("backend_server", requested.server.value);
+    if (requested.ticket.router == selfIncarnation()) {
+        m_tickets.handleSuspension(requested);
         return;
     }
-    encode(asked, *envelopeFor(asked.ticket.router).add_suspensions());
+    encode(requested, *envelopeFor(requested.ticket.router).add_suspensions());
 }
 
-auto dispatch_service::ask(const pull_request &pull) -> void
+auto dispatch_service::sendPull(const pull_request &pull) -> void
 {
     m_pulls.add();
-    const auto holder = holderOf(pull.to);
-    if (holder == selfIncarnation()) {
+    const auto router = dispatchingRouter(pull.to);
+    if (router == selfIncarnation()) {
         answerPull(pull);
-    } else if (holder != 0) {
-        encode(pull, *envelopeFor(holder).add_pulls());
+    } else if (router != 0) {
+        encode(pull, *envelopeFor(router).add_pulls());
     }
 }
 
 auto dispatch_service::answerPull(const pull_request &pull) -> void
 {
-    auto *local = m_held.find(pull.to);
+    auto *local = m_localDispatchers.find(pull.to);
     if (!local) {
         return;
     }
@@ -393,92 +396,92 @@
     m_totals.receive(from, message);
     m_digests.receive(from, message, now());
     readDispatchMessages(message, now(), std::to_string(from), *this);
-    takeConfirmed(from, message);
+    handleConfirmedPools(from, message);
 }
 
-auto dispatch_service::take(const running_request &running) -> void
+auto dispatch_service::handle(const running_request &running) -> void
 {
-    if (auto *local = m_held.find(running.granted.pool)) {
+    if (auto *local = m_localDispatchers.find(running.granted.pool)) {
         local->adopt(running.granted, running.length, now());
         local->progress(running.granted.ticket, running.cost, now());
     }
 }
 
-auto dispatch_service::take(const addressed_ticket &addressed) -> void
+auto dispatch_service::handle(const addressed_ticket &addressed) -> void
 {
-    if (auto *local = m_held.find(addressed.pool)) {
+    if (auto *local = m_localDispatchers.find(addressed.pool)) {
         local->submit(addressed.waiting, now());
-        schedulePass(addressed.pool);
+        scheduleDispatchPass(addressed.pool);
     }
 }
 
-auto dispatch_service::takeWithdrawal(ticket_id id) -> void
+auto dispatch_service::handleWithdrawal(ticket_id id) -> void
 {
-    for (const auto &[pool, local] : m_held.all()) {
+    for (const auto &[pool, local] : m_localDispatchers.all()) {
         local->withdraw(id, now());
     }
 }
 
-auto dispatch_service::take(const grant &given) -> void
+auto dispatch_service::handle(const grant &issued) -> void
 {
-    m_tickets.handleGrant(given);
+    m_tickets.handleGrant(issued);
 }
 
-auto dispatch_service::take(const refusal &refused) -> void
+auto dispatch_service::handle(const refusal &refused) -> void
 {
     m_tickets.handleRefusal(refused);
 }
 
-auto dispatch_service::take(const suspension &asked) -> void
+auto dispatch_service::handle(const suspension &requested) -> void
 {
-    m_tickets.handleSuspension(asked);
+    m_tickets.handleSuspension(requested);
 }
 
-auto dispatch_service::takeProgress(const request_use &use) -> void
+auto dispatch_service::handleProgress(const request_use &use) -> void
 {
-    if (auto *local = m_held.find(use.pool)) {
+    if (auto *local = m_localDispatchers.find(use.pool)) {
         local->progress(use.ticket, use.cost, now());
     }
 }
 
-auto dispatch_service::takeSettlement(const request_use &use) -> void
+auto dispatch_service::handleSettlement(const request_use &use) -> void
 {
-    if (auto *local = m_held.find(use.pool)) {
+    if (auto *local = m_localDispatchers.find(use.pool)) {
         local->settle(use.ticket, use.cost, now());
-        schedulePass(use.pool);
+        scheduleDispatchPass(use.pool);
     }
 }
 
-auto dispatch_service::take(const pull_request &pull) -> void
+auto dispatch_service::handle(const pull_request &pull) -> void
 {
     answerPull(pull);
 }
 
-auto dispatch_service::take(const pace_sample &sample) -> void
+auto dispatch_service::handle(const pace_sample &sample) -> void
 {
-    const auto pool = m_held.poolOf(sample.server);
-    if (auto *local = pool ? m_held.find(*pool) : nullptr) {
+    const auto pool = m_localDispatchers.poolOf(sample.server);
+    if (auto *local = pool ? m_localDispatchers.find(*pool) : nullptr) {
         local->placement().observe(sample, now());
     }
 }
 
 auto dispatch_service::reject(const last_reason &why) -> void
 {
-    m_rejected.add();
+    m_rejectedItems.add();
     log_line(log_level::warning, "peer_item_rejected").with("reason", why.text());
 }
 
 auto dispatch_service::setServerState(object_id server, server_state state) -> void
 {
-    if (const auto pool = m_held.setServerState(server, state, now())) {
-        schedulePass(*pool);
+    if (const auto pool = m_localDispatchers.setServerState(server, state, now())) {
+        scheduleDispatchPass(*pool);
     }
 }
 
 auto dispatch_service::observeLoad(const load_report &report) -> void
 {
-    const auto pool = m_held.poolOf(report.server);
-    if (auto *local = pool ? m_held.find(*pool) : nullptr) {
+    const auto pool = m_localDispatchers.poolOf(report.server);
+    if (auto *local = pool ? m_localDispatchers.find(*pool) : nullptr) {
         local->placement().observe(report, now());
     }
 }
@@ -486,32 +489,32 @@
 auto dispatch_service::observePace(const pace_sample &sample) -> void
 {
     asio::post(m_strand, [this, sample] {
-        const auto pool = m_held.poolOf(sample.server);
+        const auto pool = m_localDispatchers.poolOf(sample.server);
         if (!pool) {
             return;
         }
-        if (auto *local = m_held.find(*pool)) {
+        if (auto *local = m_localDispatchers.find(*pool)) {
             local->placement().observe(sample, now());
-            schedulePass(*pool);
+            scheduleDispatchPass(*pool);
             return;
         }
-        if (auto *message = envelopeToHolder(*pool)) {
+        if (auto *message = envelopeToDispatcher(*pool)) {
             encode(sample, *message->add_samples());
         }
     });
 }
 
-auto dispatch_service::absorbDigest(const pool_digest &digest) -> void
+auto dispatch_service::handleDigest(const pool_digest &digest) -> void
 {
-    if (auto *local = m_held.find({ m_dataCentre, digest.pool.service })) {
+    if (auto *local = m_localDispatchers.find({ m_dataCentre, digest.pool.service })) {
         local->absorbDigest(digest, now());
-        schedulePass(local->pool());
+        scheduleDispatchPass(local->pool());
     }
 }
 
 auto dispatch_service::publishDigests(time_point now) -> void
 {
-    for (const auto &[pool, local] : m_held.all()) {
+    for (const auto &[pool, local] : m_localDispatchers.all()) {
         m_digests.publish(local->makeDigest(now), now);
     }
 }
@@ -519,15 +522,15 @@
 auto dispatch_service::tick(time_point now) -> void
 {
     ++m_ticks;
-    for (const auto &[pool, local] : m_held.all()) {
-        m_dirty.insert(pool);
+    for (const auto &[pool, local] : m_localDispatchers.all()) {
+        m_changedPools.insert(pool);
     }
     if (m_ticks % progressTicks == 0) {
         m_tickets.reportProgress();
     }
     if (m_ticks % confirmTicks == 0) {
-        for (const auto &[pool, holder] : m_followed) {
-            tellRunning(pool, holder);
+        for (const auto &[pool, router] : m_syncedRouters) {
+            sendRunningRequests(pool, router);
         }
     }
     if (m_ticks % resubmitTicks == 0) {
@@ -538,17 +541,17 @@
     }
     m_digests.tick(now);
     m_totals.tick(now);
-    runPass();
+    runDispatchPass();
 }
 
-auto dispatch_service::holds(const pool_id &pool) const -> bool
+auto dispatch_service::isDispatcherOf(const pool_id &pool) const -> bool
 {
-    return m_held.find(pool) != nullptr;
+    return m_localDispatchers.find(pool) != nullptr;
 }
 
-auto dispatch_service::heldPools() const -> std::size_t
+auto dispatch_service::dispatchedPoolCount() const -> std::size_t
 {
-    return m_held.all().size();
+    return m_localDispatchers.all().size();
 }
 
 } // namespace marjoramloom
--- a/src/router/http_exchange.cpp
+++ b/src/router/http_exchange.cpp
@@ -21,21 +21,21 @@
 
 namespace {
 
-/// Pause between looks at a connection on which a pipelined request already waits.
+/// Time between two checks of a connection on which a pipelined request is unread.
 constexpr auto pipelinedPollPeriod = std::chrono::seconds(1);
 
 constexpr std::string_view bearerPrefix = "Bearer ";
 
-/// What can be seen of a caller that waits for its answer.
+/// State of the connection of a caller whose request is being processed.
 enum class caller_state {
     waiting,
-    pipelining, ///< It already sent another request.
-    gone,
+    pipelining, ///< The caller already sent another request.
+    disconnected,
 };
 
-/// Looks without taking bytes. Readiness alone proves nothing: the event may be for bytes that another thread has read
-/// since.
-auto stateOf(asio::ip::tcp::socket &socket) -> caller_state
+/// Checks the connection without consuming bytes. A readiness event alone does not show that the caller closed the
+/// connection: it may be for bytes that another thread has read since.
+auto probeCaller(asio::ip::tcp::socket &socket) -> caller_state
 {
     auto byte = char();
     const auto count = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -43,11 +43,11 @@
         return caller_state::pipelining;
     }
     const auto nothingYet = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-    return nothingYet ? caller_state::waiting : caller_state::gone;
+    return nothingYet ? caller_state::waiting : caller_state::disconnected;
 }
 
-/// The status line and fields of \p head, without the empty line that ends them.
-auto headText(const http::response_header<> &head) -> std::string
+/// Formats the status line and fields of \p head, without the empty line that ends them.
+auto formatHead(const http::response_header<> &head) -> std::string
 {
     const auto reason = head.reason();
     auto text = std::string("HTTP/1.1 ") + std::to_string(head.result_int()) + " ";
@@ -59,7 +59,7 @@
     return text;
 }
 
-auto chunkOf(std::string_view text) -> std::string
+auto formatChunk(std::string_view text) -> std::string
 {
     auto size = std::array<char, 24>{};
     const auto length = std::snprintf(size.data(), size.size(), "%zx\r\n", text.size());
@@ -111,7 +111,7 @@
     return value.starts_with(bearerPrefix) ? value.substr(bearerPrefix.size()) : std::string_view();
 }
 
-auto http_exchange::closeAfterwards() -> void
+auto http_exchange::closeAfterAnswer() -> void
 {
     m_reusable = false;
 }
@@ -158,7 +158,7 @@
 auto http_exchange::writeEvent(std::string text) -> asio::awaitable<bool>
 {
     assert(m_answered);
-    co_return co_await write(chunkOf(text));
+    co_return co_await write(formatChunk(text));
 }
 
 auto http_exchange::finishEvents() -> asio::awaitable<bool>
@@ -167,41 +167,41 @@
     co_return co_await write("0\r\n\r\n");
 }
 
-auto http_exchange::abandonEvents() -> void
+auto http_exchange::abortEvents() -> void
 {
     m_reusable = false;
     auto error = boost::system::error_code();
     m_stream.socket().shutdown(asio::ip::tcp::socket::shutdown_both, error);
 }
 
-auto http_exchange::relayHead(const http::response_header<> &head) -> void
+auto http_exchange::beginRelay(const http::response_header<> &head) -> void
 {
     assert(!m_answered);
     m_answered = true;
-    m_unsentHead = headText(head);
+    m_unsentHead = formatHead(head);
     m_unsentHead +=
         m_reusable ? "Transfer-Encoding: chunked\r\n\r\n" : "Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
-auto http_exchange::relayPiece(std::string_view piece) -> asio::awaitable<bool>
+auto http_exchange::relayChunk(std::string_view data) -> asio::awaitable<bool>
 {
     assert(m_answered);
     auto text = std::exchange(m_unsentHead, {});
-    text += chunkOf(piece);
+    text += formatChunk(data);
     co_return co_await write(std::move(text));
 }
 
-auto http_exchange::relayEnd() -> asio::awaitable<bool>
+auto http_exchange::finishRelay() -> asio::awaitable<bool>
 {
     assert(m_answered);
     co_return co_await write(std::exchange(m_unsentHead, {}) + "0\r\n\r\n");
 }
 
-auto http_exchange::relayWhole(const http::response_header<> &head, std::string_view body) -> asio::awaitable<bool>
+auto http_exchange::relayComplete(const http::response_header<> &head, std::string_view body) -> asio::awaitable<bool>
 {
     assert(!m_answered);
     m_answered = true;
-    auto text = headText(head);
+    auto text = formatHead(head);
     if (!m_reusable) {
         text += "Connection: close\r\n";
     }
@@ -215,31 +215,31 @@
     co_return co_await write(std::move(text));
 }
 
-auto http_exchange::callerIsGone() -> bool
+auto http_exchange::isCallerDisconnected() -> bool
 {
-    return stateOf(m_stream.socket()) == caller_state::gone;
+    return probeCaller(m_stream.socket()) == caller_state::disconnected;
 }
 
-auto http_exchange::drop() -> void
+auto http_exchange::closeWithoutAnswer() -> void
 {
     assert(!m_answered);
     m_answered = true;
-    abandonEvents();
+    abortEvents();
 }
 
-auto http_exchange::waitForCallerToLeave() -> asio::awaitable<void>
+auto http_exchange::waitForCallerDisconnect() -> asio::awaitable<void>
 {
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
     auto error = boost::system::error_code();
     while (true) {
         co_await m_stream.socket().async_wait(asio::ip::tcp::socket::wait_read,
                                               asio::redirect_error(asio::use_awaitable, error));
-        const auto state = error ? caller_state::gone : stateOf(m_stream.socket());
-        if (state == caller_state::gone) {
+        const auto state = error ? caller_state::disconnected : probeCaller(m_stream.socket());
+        if (state == caller_state::disconnected) {
             co_return;
         }
         if (state == caller_state::pipelining) {
-            // The end of the connection shows only behind the bytes of the next request.
+            // While the next request is unread, recv() does not show that the connection was closed.
             timer.expires_after(pipelinedPollPeriod);
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
         }
@@ -260,7 +260,7 @@
 {
     auto error = boost::system::error_code();
     auto &socket = m_stream.socket();
-    // What the socket takes at once needs no timer and no turn of the loop.
+    // Try a synchronous write first: if the socket buffer has room, no timer and no event loop iteration are needed.
     if (!socket.non_blocking()) {
         socket.non_blocking(true, error);
     }
@@ -315,7 +315,7 @@
     case failure_kind::unknownOutcome:
         return 504;
     case failure_kind::cancelled:
-        return 499;
+        return 499; // Non-standard code of nginx: client closed request.
     case failure_kind::internal:
         return 500;
     }
--- a/src/router/model_handler.cpp
+++ b/src/router/model_handler.cpp
@@ -46,7 +46,7 @@
         co_return;
     }
     auto request = makeRequest(*admitted, *body, exchange);
-    co_await carryOut(exchange, std::move(request), body->stream());
+    co_await runCall(exchange, std::move(request), body->stream());
 }
 
 auto model_handler::makeRequest(const admitted_request &admitted, const completion_body &body,
@@ -68,13 +68,13 @@
     return request;
 }
 
-auto model_handler::carryOut(http_exchange &exchange, model_request request, bool stream) -> asio::awaitable<void>
+auto model_handler::runCall(http_exchange &exchange, model_request request, bool stream) -> asio::awaitable<void>
 {
     using namespace asio::experimental::awaitable_operators;
     auto writer = answer_writer(exchange, request.requestId, request.target.name, stream);
     auto control = call_control::make(co_await asio::this_coro::executor);
     auto call = model_call<ticket_queue, answer_writer>(m_context.calls, m_context.tickets, writer, control, request);
-    const auto ended = co_await (call.run() || cancelWhenCallerLeaves(exchange, control));
+    const auto ended = co_await (call.run() || cancelOnCallerDisconnect(exchange, control));
     const auto &result = std::get<0>(ended);
     co_await finish(exchange, writer, request, result);
 }
--- a/src/router/operator_handler.cpp
+++ b/src/router/operator_handler.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Compares in a time that does not depend on where the texts differ.
-auto sameText(const std::string &left, const std::string &right) -> bool
+/// Compares in a time that does not depend on the position of the first difference, which prevents timing attacks.
+auto equalsInConstantTime(const std::string &left, const std::string &right) -> bool
 {
     return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
@@ -44,7 +44,7 @@
         co_await exchange.reply(std::move(answer));
         co_return;
     }
-    if (!sameText(sha256Hex(exchange.bearerToken()), m_keyHash)) {
+    if (!equalsInConstantTime(sha256Hex(exchange.bearerToken()), m_keyHash)) {
         auto why = last_reason();
         why.fail(failure_kind::unauthorized, "authenticate", exchange.peer(), "this is not the operators' key");
         co_await exchange.reply(errorReply(why));
--- a/src/router/order_handler.cpp
+++ b/src/router/order_handler.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr std::size_t keyLimit = 256; ///< Longest Idempotency-Key, in bytes.
-constexpr unsigned unprocessable = 422;
+constexpr std::size_t maxKeyBytes = 256; ///< Of an Idempotency-Key.
+constexpr unsigned unprocessableContent = 422; ///< HTTP status code.
 
-auto optionsFor(const member &self) -> order_options
+auto makeOrderOptions(const member &self) -> order_options
 {
     auto options = order_options();
     options.incarnation = self.incarnation;
@@ -27,7 +27,7 @@
     return options;
 }
 
-auto orderOf(const admitted_request &admitted, const plain_request &request, std::string_view key) -> order_request
+auto makeOrder(const admitted_request &admitted, const plain_request &request, std::string_view key) -> order_request
 {
     auto order = order_request();
     order.accountName = admitted.account->name;
@@ -37,7 +37,7 @@
     return order;
 }
 
-auto conclusionOf(const plain_result &result) -> order_conclusion
+auto makeConclusion(const plain_result &result) -> order_conclusion
 {
     auto conclusion = order_conclusion();
     if (result.state == call_state::complete) {
@@ -62,7 +62,7 @@
 order_handler::order_handler(request_context &context, store_client &platform, const member &self,
                              counter_registry &counters)
     : m_context(context)
-    , m_ledger(platform, optionsFor(self), counters)
+    , m_ledger(platform, makeOrderOptions(self), counters)
 {
 }
 
@@ -71,18 +71,18 @@
 {
     auto why = last_reason();
     const auto key = exchange.header("Idempotency-Key");
-    if (key.empty() || key.size() > keyLimit) {
+    if (key.empty() || key.size() > maxKeyBytes) {
         why.fail(failure_kind::invalidInput, "read Idempotency-Key", exchange.peer(),
                  "this service needs an Idempotency-Key header of 1 to 256 bytes");
         co_await exchange.reply(notRunReply(why));
         co_return;
     }
     const auto requestId = request.requestId;
-    auto order = orderOf(admitted, request, key);
+    auto order = makeOrder(admitted, request, key);
     auto admission = co_await m_ledger.admit(std::move(order), why);
     auto answer = http_reply();
     if (admission.permit) {
-        const auto result = co_await carryOut(admitted, std::move(request), std::move(*admission.permit));
+        const auto result = co_await runCall(admitted, std::move(request), std::move(*admission.permit));
         answer = plainReply(result, requestId);
     } else {
         answer = replyTo(admission, why);
@@ -91,7 +91,7 @@
     co_await exchange.reply(std::move(answer));
 }
 
-auto order_handler::carryOut(const admitted_request &admitted, plain_request request, order_permit permit)
+auto order_handler::runCall(const admitted_request &admitted, plain_request request, order_permit permit)
     -> asio::awaitable<plain_result>
 {
     auto result = plain_result();
@@ -110,7 +110,7 @@
     const auto labels = "account=\"" + admitted.account->name + "\",service=\"" + admitted.target->name + "\",state=\""
         + std::string(nameOf(result.state)) + "\"";
     m_context.counters.at("marjoramloom_requests_total", labels).add();
-    auto conclusion = conclusionOf(result);
+    auto conclusion = makeConclusion(result);
     co_await m_ledger.conclude(std::move(permit), std::move(conclusion));
     co_return result;
 }
@@ -127,7 +127,7 @@
         break;
     case order_verdict::bodyDiffers:
         answer = notRunReply(why);
-        answer.status = unprocessable;
+        answer.status = unprocessableContent;
         break;
     case order_verdict::inProgress:
         answer.status = statusOf(failure_kind::conflict);
@@ -162,11 +162,11 @@
         report["error"] = why.text();
         co_return report;
     }
-    auto rows = boost::json::array();
+    auto orders = boost::json::array();
     for (const auto &order : *open) {
-        rows.push_back(describe(order));
+        orders.push_back(describe(order));
     }
-    report["orders"] = std::move(rows);
+    report["orders"] = std::move(orders);
     co_return report;
 }
 
--- a/src/router/plain_handler.cpp
+++ b/src/router/plain_handler.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t requestIdBytes = 12;
 
-/// Splits "/services/<service>/<path>"; the path keeps its slash and query.
+/// Splits "/services/<service>/<path>" into service and path. The path keeps its leading slash and the query.
 auto splitTarget(std::string_view target) -> std::pair<std::string, std::string>
 {
     target.remove_prefix(plain_handler::servicesPrefix.size());
@@ -62,13 +62,13 @@
     }
     auto request = makeRequest(exchange, *admitted, path);
     if (admitted->target->repeatable) {
-        co_await carryOut(exchange, *admitted, std::move(request));
+        co_await runCall(exchange, *admitted, std::move(request));
     } else {
         co_await m_orders.handle(exchange, *admitted, std::move(request));
     }
 }
 
-auto plain_handler::carryOut(http_exchange &exchange, const admitted_request &admitted, plain_request request)
+auto plain_handler::runCall(http_exchange &exchange, const admitted_request &admitted, plain_request request)
     -> asio::awaitable<void>
 {
     using namespace asio::experimental::awaitable_operators;
@@ -76,7 +76,7 @@
     auto control = call_control::make(co_await asio::this_coro::executor);
     auto work = plainWork(admitted, std::move(request));
     const auto ended = co_await (runPlainCall(m_context.calls, m_context.tickets, control, std::move(work))
-                                 || cancelWhenCallerLeaves(exchange, control));
+                                 || cancelOnCallerDisconnect(exchange, control));
     const auto &result = std::get<0>(ended);
     const auto labels = "account=\"" + admitted.account->name + "\",service=\"" + admitted.target->name + "\",state=\""
         + std::string(nameOf(result.state)) + "\"";
--- a/src/router/refusal_reply.h
+++ b/src/router/refusal_reply.h
@@ -4,7 +4,8 @@
 
 namespace marjoramloom {
 
-/// An error response that also says that the request was not run. Precondition: that is proved. Thread safe.
+/// Returns an error response with the X-Not-Run header, which tells the caller that no backend server ran the request.
+/// Precondition: it is certain that none did. Thread safe.
 auto notRunReply(const last_reason &why) -> http_reply;
 
 } // namespace marjoramloom
--- a/src/router/request_head.cpp
+++ b/src/router/request_head.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr std::string_view tokenMarks = "!#$%&'*+-.^_`|~";
+constexpr std::string_view tokenSymbols = "!#$%&'*+-.^_`|~";
 
 auto isTokenCharacter(char letter) -> bool
 {
     const auto isDigit = letter >= '0' && letter <= '9';
     const auto isLetter = (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z');
-    return isDigit || isLetter || tokenMarks.find(letter) != std::string_view::npos;
+    return isDigit || isLetter || tokenSymbols.find(letter) != std::string_view::npos;
 }
 
 auto isToken(std::string_view text) -> bool
@@ -28,7 +28,7 @@
         && std::all_of(text.begin(), text.end(), [](char letter) { return letter >= '0' && letter <= '9'; });
 }
 
-/// Method, target and version, with single spaces between them; the target is a path.
+/// Whether \p line is a method, a target and a version, separated by single spaces. The target must be a path.
 auto isRequestLine(std::string_view line) -> bool
 {
     const auto first = line.find(' ');
@@ -39,14 +39,15 @@
     return isToken(line.substr(0, first)) && line[first + 1] == '/' && line.substr(last + 1).starts_with("HTTP/1.");
 }
 
-/// Fields of which a request may have one at most.
-struct seen_fields
+/// Counts the fields that may occur only once in a request.
+struct unique_fields
 {
     int hosts = 0;
     int lengths = 0;
     int encodings = 0;
 
-    auto take(std::string_view name, std::string_view value) -> bool
+    /// Counts the field. Returns false if its value is invalid.
+    auto add(std::string_view name, std::string_view value) -> bool
     {
         if (equalsIgnoringCase(name, "Host")) {
             ++hosts;
@@ -60,33 +61,34 @@
         return true;
     }
 
-    [[nodiscard]] auto areSound() const -> bool
+    [[nodiscard]] auto areValid() const -> bool
     {
         return hosts == 1 && lengths + encodings <= 1;
     }
 };
 
-auto isSoundField(std::string_view line, seen_fields &seen) -> bool
+auto isValidField(std::string_view line, unique_fields &fields) -> bool
 {
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || !isToken(line.substr(0, colon))) {
         return false;
     }
-    return seen.take(line.substr(0, colon), trimmed(line.substr(colon + 1)));
+    return fields.add(line.substr(0, colon), trimmed(line.substr(colon + 1)));
 }
 
 } // namespace
 
 auto checkRequestHead(std::string_view bytes) -> head_state
 {
-    auto seen = seen_fields();
+    auto fields = unique_fields();
     auto isFirst = true;
     while (true) {
         const auto end = bytes.find('\n');
         if (end == std::string_view::npos) {
-            const auto stray = bytes.find('\r');
-            return stray == std::string_view::npos || stray + 1 == bytes.size() ? head_state::incomplete
-                                                                                : head_state::malformed;
+            const auto carriageReturn = bytes.find('\r');
+            return carriageReturn == std::string_view::npos || carriageReturn + 1 == bytes.size()
+                ? head_state::incomplete
+                : head_state::malformed;
         }
         if (end == 0 || bytes[end - 1] != '\r') {
             return head_state::malformed;
@@ -94,11 +96,11 @@
         const auto line = bytes.substr(0, end - 1);
         bytes.remove_prefix(end + 1);
         if (line.empty() && !isFirst) {
-            return seen.areSound() ? head_state::sound : head_state::malformed;
+            return fields.areValid() ? head_state::valid : head_state::malformed;
         }
         const auto hasControl =
             std::any_of(line.begin(), line.end(), [](char letter) { return letter == '\r' || letter == '\0'; });
-        if (hasControl || !(isFirst ? isRequestLine(line) : isSoundField(line, seen))) {
+        if (hasControl || !(isFirst ? isRequestLine(line) : isValidField(line, fields))) {
             return head_state::malformed;
         }
         isFirst = false;
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -37,14 +37,15 @@
 
 namespace {
 
-/// Longest try to get one configuration change written.
-constexpr auto commitLimit = std::chrono::milliseconds(5'000);
-/// How long a stopping router still accepts connections, so that the balancer sees that it is not ready.
+/// Maximum time to write one configuration change to the platform.
+constexpr auto commitTimeout = std::chrono::milliseconds(5'000);
+/// Time for which a stopping router still accepts connections, so that the load balancer detects that it is not ready.
 constexpr auto acceptAfterStop = std::chrono::seconds(1);
-/// How often a stopping router looks whether it is done.
-constexpr auto drainPoll = std::chrono::milliseconds(50);
-/// How long peers are told of a finished router's leaving before its links close.
-constexpr auto farewell = std::chrono::milliseconds(200);
+/// Time between two checks whether a stopping router has finished its requests.
+constexpr auto drainPollPeriod = std::chrono::milliseconds(50);
+/// Time for which a router that finished its requests still announces to its peers that it leaves, before its links
+/// close.
+constexpr auto leaveAnnouncementTime = std::chrono::milliseconds(200);
 
 auto memberOf(const settings &config) -> member
 {
@@ -62,7 +63,7 @@
     auto limits = peer_mesh_settings();
     limits.heartbeat = config.heartbeat;
     limits.membership.timeout = config.peerTimeout;
-    limits.membership.suspectAfter = config.heartbeat * 3 / 2; // So that an answer comes within four heartbeats.
+    limits.membership.suspectAfter = config.heartbeat * 3 / 2; // Leaves time for an answer within four heartbeats.
     return limits;
 }
 
@@ -91,19 +92,19 @@
 
 } // namespace
 
-/// All parts of a router, in the order in which they depend on each other.
-struct router_process::parts
+/// All components of a router, in the order of their dependencies.
+struct router_process::components
 {
-    explicit parts(settings given);
+    explicit components(settings given);
 
     auto listen(last_reason &why) -> bool;
-    auto publishView(const std::shared_ptr<const configuration> &contracts) -> void;
+    auto publishView(const std::shared_ptr<const configuration> &activeConfig) -> void;
     auto tickLoop() -> asio::awaitable<void>;
     auto waitForStop() -> asio::awaitable<void>;
     auto drain() -> asio::awaitable<void>;
-    auto busy() const -> bool;
+    auto isBusy() const -> bool;
     auto refreshReadiness() -> void;
-    auto refreshWatcherDuty() -> void;
+    auto refreshWatcherRole() -> void;
 
     settings config;
     asio::io_context context;
@@ -140,7 +141,7 @@
     std::shared_ptr<http_server<operator_handler>> operatorServer;
 };
 
-router_process::parts::parts(settings given)
+router_process::components::components(settings given)
     : config(std::move(given))
     , context(static_cast<int>(config.threads))
     , strand(asio::make_strand(asio::any_io_executor(context.get_executor())))
@@ -161,7 +162,7 @@
     , orders(requests, platform, self, counters)
     , callers(requests, orders)
     , status(strand, links, store, dispatch, tickets)
-    , changes(platform, store, watcher, commitLimit)
+    , changes(platform, store, watcher, commitTimeout)
     , operators(store, changes)
     , operatorRequests(operators, counters, ready, config.operatorKeyHash)
 {
@@ -174,8 +175,8 @@
     calls.gate = &gate;
     calls.addressOf = [this](object_id server) -> std::optional<std::string> {
         const auto current = view.read();
-        const auto *contract = current->findServer(server);
-        return contract ? std::optional(contract->address) : std::nullopt;
+        const auto *entry = current->findServer(server);
+        return entry ? std::optional(entry->address) : std::nullopt;
     };
     calls.onPace = [this](const pace_sample &sample) {
         dispatch.observePace(sample);
@@ -187,30 +188,30 @@
     tickets.setLimits(
         [this](object_id account) {
             const auto current = view.read();
-            const auto *contract = current->findAccount(account);
-            return contract ? contract->queueLimit : 0;
+            const auto *entry = current->findAccount(account);
+            return entry ? entry->queueLimit : 0;
         },
         config.queueLimit);
-    store.addListener([this](const auto &contracts) { publishView(contracts); });
+    store.addListener([this](const auto &activeConfig) { publishView(activeConfig); });
     callerServer =
         std::make_shared<http_server<caller_handler>>(context, callers, counters, "callers", httpLimits(config));
     operatorServer = std::make_shared<http_server<operator_handler>>(context, operatorRequests, counters, "operators",
                                                                      httpLimits(config));
 }
 
-auto router_process::parts::publishView(const std::shared_ptr<const configuration> &contracts) -> void
+auto router_process::components::publishView(const std::shared_ptr<const configuration> &activeConfig) -> void
 {
-    auto next = std::make_shared<const router_view>(contracts);
+    auto next = std::make_shared<const router_view>(activeConfig);
     view.publish(next);
     asio::post(strand, [this, next] {
         dispatch.setView(next);
         servers.setView(next);
-        links.setConfigurationSequence(next->contracts().sequence);
-        relay.onApplied(next->contracts().sequence);
+        links.setConfigurationSequence(next->config().sequence);
+        relay.onApplied(next->config().sequence);
     });
 }
 
-auto router_process::parts::listen(last_reason &why) -> bool
+auto router_process::components::listen(last_reason &why) -> bool
 {
     links.setReceiver([this](incarnation_id from, const wire::Envelope &message) {
         relay.receive(from, message);
@@ -226,29 +227,31 @@
         && callerServer->listen(config.callersListen, why);
 }
 
-auto router_process::parts::refreshReadiness() -> void
+auto router_process::components::refreshReadiness() -> void
 {
-    const auto now = !draining && store.isUpToDate();
-    if (now != ready) {
-        log_line(log_level::info, "readiness").with("ready", now ? "yes" : "no");
+    const auto isReady = !draining && store.isUpToDate();
+    if (isReady != ready) {
+        log_line(log_level::info, "readiness").with("ready", isReady ? "yes" : "no");
     }
-    ready = now;
-    links.setReady(now);
+    ready = isReady;
+    links.setReady(isReady);
     links.setPlatformAge(platform.timeSinceLastAnswer());
 }
 
-/// The first two routers of the data centre in the duty's order watch the platform; the others hear from them.
-auto router_process::parts::refreshWatcherDuty() -> void
+/// Updates whether this router watches the platform and compacts the configuration. The first two candidates of the
+/// data centre's watcher role watch the platform and relay what they read to the others; the first one compacts.
+auto router_process::components::refreshWatcherRole() -> void
 {
-    constexpr auto watchers = std::size_t(2);
-    const auto order = rankRoleCandidates(links.members(), { role_kind::watcher, config.dataCentre, "" });
-    const auto end = order.begin() + static_cast<std::ptrdiff_t>(std::min(watchers, order.size()));
-    compactor.setDesignated(!order.empty() && order.front().incarnation == self.incarnation);
-    watcher.setDesignated(std::any_of(order.begin(), end,
-                                      [this](const member &holder) { return holder.incarnation == self.incarnation; }));
+    constexpr auto watcherCount = std::size_t(2);
+    const auto candidates = rankRoleCandidates(links.members(), { role_kind::watcher, config.dataCentre, "" });
+    const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(std::min(watcherCount, candidates.size()));
+    compactor.setDesignated(!candidates.empty() && candidates.front().incarnation == self.incarnation);
+    watcher.setDesignated(std::any_of(candidates.begin(), end, [this](const member &candidate) {
+        return candidate.incarnation == self.incarnation;
+    }));
 }
 
-auto router_process::parts::tickLoop() -> asio::awaitable<void>
+auto router_process::components::tickLoop() -> asio::awaitable<void>
 {
     auto timer = asio::steady_timer(strand);
     auto error = boost::system::error_code();
@@ -259,7 +262,7 @@
         next = std::max(next + dispatch_service::tickPeriod, system_clock_source().now());
         timer.expires_at(next);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
-        refreshWatcherDuty();
+        refreshWatcherRole();
         refreshReadiness();
         relay.tick(next);
         dispatch.tick(next);
@@ -270,7 +273,7 @@
     }
 }
 
-auto router_process::parts::waitForStop() -> asio::awaitable<void>
+auto router_process::components::waitForStop() -> asio::awaitable<void>
 {
     auto signals = asio::signal_set(strand, SIGTERM, SIGINT);
     co_await signals.async_wait(asio::use_awaitable);
@@ -278,12 +281,12 @@
     context.stop();
 }
 
-auto router_process::parts::busy() const -> bool
+auto router_process::components::isBusy() const -> bool
 {
     return tickets.waitingCount() + tickets.runningCount() + callerServer->connections() + orders.unsettled() > 0;
 }
 
-auto router_process::parts::drain() -> asio::awaitable<void>
+auto router_process::components::drain() -> asio::awaitable<void>
 {
     log_line(log_level::info, "stop_begins").with("waiting", tickets.waitingCount());
     draining = true;
@@ -294,11 +297,11 @@
     callerServer->stopAccepting();
     operatorServer->stopAccepting();
     const auto deadline = system_clock_source().now() + config.drainLimit;
-    while (busy() && system_clock_source().now() < deadline) {
-        timer.expires_after(drainPoll);
+    while (isBusy() && system_clock_source().now() < deadline) {
+        timer.expires_after(drainPollPeriod);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    timer.expires_after(farewell);
+    timer.expires_after(leaveAnnouncementTime);
     co_await timer.async_wait(asio::use_awaitable);
     servers.stop();
     links.stop();
@@ -306,7 +309,7 @@
 }
 
 router_process::router_process(settings config)
-    : m_parts(std::make_unique<parts>(std::move(config)))
+    : m_components(std::make_unique<components>(std::move(config)))
 {
 }
 
@@ -314,13 +317,13 @@
 
 auto router_process::start(last_reason &why) -> bool
 {
-    // The parts of the decision strand are set up before any thread runs.
-    return m_parts->listen(why);
+    // No thread runs yet, so that components that belong to the decision strand can be set up here.
+    return m_components->listen(why);
 }
 
 auto router_process::run() -> void
 {
-    auto &all = *m_parts;
+    auto &all = *m_components;
     asio::co_spawn(
         all.strand, [&all] { return all.tickLoop(); }, asio::detached);
     asio::co_spawn(
--- a/src/router/router_view.cpp
+++ b/src/router/router_view.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Pointer to the value under \p key, or null.
+/// Returns a pointer to the value of \p key, or null.
 auto findIn(const auto &map, const auto &key)
 {
     const auto found = map.find(key);
     return found == map.end() ? nullptr : &found->second;
 }
 
-/// The pointer stored under \p key, or null.
+/// Returns the pointer that is the value of \p key, or null.
 auto pointerIn(const auto &map, const auto &key)
 {
     const auto found = map.find(key);
@@ -24,42 +24,42 @@
 
 } // namespace
 
-router_view::router_view(std::shared_ptr<const configuration> contracts)
-    : m_contracts(std::move(contracts))
+router_view::router_view(std::shared_ptr<const configuration> config)
+    : m_config(std::move(config))
 {
-    assert(m_contracts);
-    for (const auto &[name, account] : m_contracts->clientAccounts) {
+    assert(m_config);
+    for (const auto &[name, account] : m_config->clientAccounts) {
         m_accountById[account.id] = &account;
         for (const auto &hash : account.keyHashes) {
             m_accountByKeyHash[hash] = &account;
         }
     }
-    for (const auto &[name, server] : m_contracts->backendServers) {
+    for (const auto &[name, server] : m_config->backendServers) {
         m_serverById[server.id] = &server;
     }
-    for (const auto &[name, entry] : m_contracts->services) {
+    for (const auto &[name, entry] : m_config->services) {
         m_serviceById[entry.id] = &entry;
     }
 }
 
-auto router_view::contracts() const -> const configuration &
+auto router_view::config() const -> const configuration &
 {
-    return *m_contracts;
+    return *m_config;
 }
 
-auto router_view::accountOfKey(std::string_view token) const -> const client_account *
+auto router_view::findAccountByKey(std::string_view token) const -> const client_account *
 {
     return token.empty() ? nullptr : pointerIn(m_accountByKeyHash, sha256Hex(token));
 }
 
 auto router_view::findService(const std::string &name) const -> const service *
 {
-    return findIn(m_contracts->services, name);
+    return findIn(m_config->services, name);
 }
 
 auto router_view::findProfile(const std::string &name) const -> const profile *
 {
-    return findIn(m_contracts->profiles, name);
+    return findIn(m_config->profiles, name);
 }
 
 auto router_view::findServer(object_id id) const -> const backend_server *
@@ -69,7 +69,7 @@
 
 auto router_view::findServer(const std::string &name) const -> const backend_server *
 {
-    return findIn(m_contracts->backendServers, name);
+    return findIn(m_config->backendServers, name);
 }
 
 auto router_view::findService(object_id id) const -> const service *
--- a/src/router/server_watch.cpp
+++ b/src/router/server_watch.cpp
@@ -21,9 +21,9 @@
 namespace {
 
 /// Time between two reads of the instance list.
-constexpr auto listPeriod = std::chrono::seconds(1);
+constexpr auto instancePollPeriod = std::chrono::seconds(1);
 
-auto unixMsNow() -> std::int64_t
+auto currentUnixMs() -> std::int64_t
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
@@ -49,15 +49,15 @@
     };
     handlers.onPollFailed = [](object_id, std::uint32_t) {
     };
-    m_loads = std::make_shared<load_watch>(m_strand, load_watch_settings(), std::move(handlers));
-    m_loads->start();
+    m_loadWatch = std::make_shared<load_watch>(m_strand, load_watch_settings(), std::move(handlers));
+    m_loadWatch->start();
 }
 
 auto server_watch::setView(std::shared_ptr<const router_view> view) -> void
 {
     m_view = std::move(view);
-    m_calendar.setConfiguration(m_view->contracts());
-    apply();
+    m_calendar.setConfiguration(m_view->config());
+    applyStops();
 }
 
 auto server_watch::pollInstances() -> asio::awaitable<void>
@@ -66,22 +66,22 @@
     auto error = boost::system::error_code();
     while (true) {
         auto why = last_reason();
-        const auto askedAt = system_clock_source().now();
+        const auto requestedAt = system_clock_source().now();
         const auto snapshot = co_await m_platform.instances(why);
         if (snapshot) {
             m_links.setListedRouters(snapshot->instances);
-            m_calendar.setInstances(snapshot->instances, unixMsNow());
-            apply();
+            m_calendar.setInstances(snapshot->instances, currentUnixMs());
+            applyStops();
         }
-        m_gate.markRefreshed(askedAt);
-        timer.expires_after(listPeriod);
+        m_gate.markRefreshed(requestedAt);
+        timer.expires_after(instancePollPeriod);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
 }
 
 auto server_watch::noteLeaving(object_id server) -> void
 {
-    asio::post(m_strand, [this, server] { absorb({ server, server_state::leaving, unixMsNow() }, 0); });
+    asio::post(m_strand, [this, server] { handleNotice({ server, server_state::leaving, currentUnixMs() }, 0); });
 }
 
 auto server_watch::receive(const wire::Envelope &message) -> void
@@ -89,20 +89,20 @@
     auto why = last_reason();
     for (const auto &item : message.notices()) {
         if (const auto notice = decodeNotice(item, std::to_string(message.sender()), why)) {
-            absorb(*notice, message.sender());
+            handleNotice(*notice, message.sender());
         }
     }
 }
 
-/// Takes a server's word; what is news goes on to the other routers.
-auto server_watch::absorb(const server_notice &notice, incarnation_id heardFrom) -> void
+/// Applies a notice. If it changes what is known, forwards it to other routers.
+auto server_watch::handleNotice(const server_notice &notice, incarnation_id sender) -> void
 {
-    if (!m_calendar.absorb(notice, unixMsNow())) {
+    if (!m_calendar.absorb(notice, currentUnixMs())) {
         return;
     }
-    apply();
-    for (const auto target : relayTargets(m_links.members(), m_links.self(), heardFrom)) {
-        tell(target, { notice });
+    applyStops();
+    for (const auto target : relayTargets(m_links.members(), m_links.self(), sender)) {
+        sendNotices(target, { notice });
     }
 }
 
@@ -110,11 +110,11 @@
 {
     const auto sameDataCentre = event.memberInfo.dataCentre == m_links.self().dataCentre;
     if (event.joined && (sameDataCentre || event.memberInfo.heardDirectly)) {
-        tell(event.memberInfo.incarnation, m_calendar.notices(unixMsNow()));
+        sendNotices(event.memberInfo.incarnation, m_calendar.notices(currentUnixMs()));
     }
 }
 
-auto server_watch::tell(incarnation_id peer, const std::vector<server_notice> &notices) -> void
+auto server_watch::sendNotices(incarnation_id peer, const std::vector<server_notice> &notices) -> void
 {
     if (peer == m_links.self().incarnation || notices.empty()) {
         return;
@@ -126,30 +126,30 @@
     m_links.send(peer, std::move(message));
 }
 
-auto server_watch::apply() -> void
+auto server_watch::applyStops() -> void
 {
-    const auto stopping = m_calendar.stoppingAt(unixMsNow());
-    const auto before = std::exchange(m_phases, stopping);
-    if (before != stopping) {
+    const auto stopping = m_calendar.stoppingAt(currentUnixMs());
+    const auto previous = std::exchange(m_phases, stopping);
+    if (previous != stopping) {
         auto leaving = std::set<object_id>();
         for (const auto &[server, phase] : stopping) {
             leaving.insert(server);
         }
         m_gate.setLeaving(std::move(leaving));
     }
-    for (const auto &[server, phase] : before) {
+    for (const auto &[server, phase] : previous) {
         if (!stopping.contains(server)) {
             applyPhase(server, stop_phase::open);
         }
     }
     for (const auto &[server, phase] : stopping) {
-        const auto known = before.find(server);
-        if (known == before.end() || known->second != phase) {
+        const auto applied = previous.find(server);
+        if (applied == previous.end() || applied->second != phase) {
             applyPhase(server, phase);
         }
         if (phase == stop_phase::moving) {
-            // Again each time: a request that was granted before the news may have started after it.
-            m_tickets.moveFrom(server);
+            // Repeated on each call: a request that was granted before the notice may have started after it.
+            m_tickets.moveRequestsFrom(server);
         }
     }
 }
@@ -160,21 +160,21 @@
     m_dispatch.setServerState(server, phase == stop_phase::open ? server_state::available : server_state::leaving);
 }
 
-auto server_watch::watchLoads() -> void
+auto server_watch::updatePolledServers() -> void
 {
-    auto wanted = std::set<object_id>();
+    auto serverIds = std::set<object_id>();
     auto servers = std::vector<watched_server>();
-    for (const auto &[name, server] : m_view->contracts().backendServers) {
+    for (const auto &[name, server] : m_view->config().backendServers) {
         const auto *target = m_view->findService(server.service);
         const auto isEngine = target && target->kind == service_kind::model;
-        if (isEngine && m_dispatch.holds({ server.dataCentre, target->id })) {
-            wanted.insert(server.id);
+        if (isEngine && m_dispatch.isDispatcherOf({ server.dataCentre, target->id })) {
+            serverIds.insert(server.id);
             servers.push_back({ server.id, server.address });
         }
     }
-    if (wanted != m_watched) {
-        m_watched = std::move(wanted);
-        m_loads->setServers(servers);
+    if (serverIds != m_polledServers) {
+        m_polledServers = std::move(serverIds);
+        m_loadWatch->setServers(servers);
     }
 }
 
@@ -182,14 +182,14 @@
 {
     m_gate.recordTick(system_clock_source().now());
     if (m_view) {
-        apply();
-        watchLoads();
+        applyStops();
+        updatePolledServers();
     }
 }
 
 auto server_watch::stop() -> void
 {
-    m_loads->stop();
+    m_loadWatch->stop();
 }
 
 } // namespace marjoramloom
--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -21,7 +21,7 @@
     enum_name<log_level>{ log_level::error, "error" },
 };
 
-/// Reads the tables of a settings file one after the other.
+/// Reads all tables of a settings file into a settings object and collects the problems.
 class settings_reader
 {
 public:
@@ -53,7 +53,7 @@
 private:
     auto table(const std::string &name) -> toml_reader
     {
-        m_known.insert(name);
+        m_knownTables.insert(name);
         static const auto absent = toml::table();
         const auto *node = m_root.get(name);
         if (node && !node->is_table()) {
@@ -111,8 +111,8 @@
         auto reader = table("operators");
         reader.require(reader.text("key_hash", m_settings.operatorKeyHash), "key_hash");
         const auto &hash = m_settings.operatorKeyHash;
-        const auto hexadecimal = hash.find_first_not_of("0123456789abcdef") == std::string::npos;
-        if (!hash.empty() && (hash.size() != sha256HexLength || !hexadecimal)) {
+        const auto isHexadecimal = hash.find_first_not_of("0123456789abcdef") == std::string::npos;
+        if (!hash.empty() && (hash.size() != sha256HexLength || !isHexadecimal)) {
             reader.reject("key_hash", "must be a SHA-256 hash: 64 lower-case hexadecimal digits");
         }
         reader.finish();
@@ -203,12 +203,12 @@
         auto reader = table("log");
         auto name = std::string("info");
         reader.text("level", name);
-        const auto row = std::find_if(logLevelNames.begin(), logLevelNames.end(),
-                                      [&](const auto &candidate) { return candidate.name == name; });
-        if (row == logLevelNames.end()) {
+        const auto entry = std::find_if(logLevelNames.begin(), logLevelNames.end(),
+                                        [&](const auto &candidate) { return candidate.name == name; });
+        if (entry == logLevelNames.end()) {
             reader.reject("level", "must be debug, info, warning or error");
         } else {
-            m_settings.logLevel = row->value;
+            m_settings.logLevel = entry->value;
         }
         reader.finish();
     }
@@ -216,7 +216,7 @@
     auto rejectUnknownTables() -> void
     {
         for (const auto &[key, node] : m_root) {
-            if (!m_known.contains(std::string(key.str()))) {
+            if (!m_knownTables.contains(std::string(key.str()))) {
                 m_problems.add(node.source().begin.line, key.str(), "is not a known table");
             }
         }
@@ -224,7 +224,7 @@
 
     const toml::table &m_root;
     toml_problems m_problems;
-    std::set<std::string> m_known;
+    std::set<std::string> m_knownTables;
     settings m_settings;
 };
 
--- a/src/router/status_report.cpp
+++ b/src/router/status_report.cpp
@@ -15,18 +15,18 @@
 
 namespace {
 
-auto describe(const member &who) -> json::object
+auto describe(const member &router) -> json::object
 {
     return {
-        { "instance", who.instance },
-        { "data_centre", who.dataCentre },
-        { "region", who.region },
-        { "address", who.peerAddress },
-        { "sequence", who.configurationSequence },
-        { "ready", who.ready },
-        { "leaving", who.leaving },
-        { "heard_directly", who.heardDirectly },
-        { "age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(who.age).count() },
+        { "instance", router.instance },
+        { "data_centre", router.dataCentre },
+        { "region", router.region },
+        { "address", router.peerAddress },
+        { "sequence", router.configurationSequence },
+        { "ready", router.ready },
+        { "leaving", router.leaving },
+        { "heard_directly", router.heardDirectly },
+        { "age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(router.age).count() },
     };
 }
 
@@ -51,13 +51,16 @@
 auto status_report::collect() -> asio::awaitable<json::object>
 {
     auto instances = json::array();
-    for (const auto &who : m_links.members()) {
-        instances.push_back(describe(who));
+    for (const auto &router : m_links.members()) {
+        instances.push_back(describe(router));
     }
     co_return json::object{
-        { "instance", m_links.self().instance },        { "sequence", m_store.sequence() },
-        { "waiting", m_tickets.waitingCount() },        { "running", m_tickets.runningCount() },
-        { "pools_dispatched", m_dispatch.heldPools() }, { "instances", std::move(instances) },
+        { "instance", m_links.self().instance },
+        { "sequence", m_store.sequence() },
+        { "waiting", m_tickets.waitingCount() },
+        { "running", m_tickets.runningCount() },
+        { "pools_dispatched", m_dispatch.dispatchedPoolCount() },
+        { "instances", std::move(instances) },
     };
 }
 
--- a/src/router/ticket_queue.cpp
+++ b/src/router/ticket_queue.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Smallest growth of a request's use that its dispatcher is told of, as a fraction of what was charged.
-constexpr double reportedShare = 0.25;
+/// Minimum increase of a request's cost that is reported to its dispatcher, as a fraction of the charged cost.
+constexpr double minReportedFraction = 0.25;
 
 } // namespace
 
@@ -48,14 +48,14 @@
 {
     const auto id = waiting.id;
     auto reason = std::make_shared<last_reason>();
-    const auto listening = control->addListener([this, id, control = control.get()] {
+    const auto listenerId = control->addListener([this, id, control = control.get()] {
         if (control->cancelled()) {
             asio::post(m_strand, [this, id] { cancelOnStrand(id); });
         }
     });
     auto waitForGrant = acquireOnStrand(std::move(waiting), control, reason);
     auto granted = co_await asio::co_spawn(m_strand, std::move(waitForGrant), asio::use_awaitable);
-    control->removeListener(listening);
+    control->removeListener(listenerId);
     if (!granted) {
         why = *reason;
     }
@@ -66,31 +66,31 @@
                                    std::shared_ptr<last_reason> why) -> asio::awaitable<std::optional<grant>>
 {
     assert(m_port.submit);
-    if (!admit(waiting, *why)) {
+    if (!checkLimits(waiting, *why)) {
         co_return std::nullopt;
     }
     auto request = std::make_shared<waiting_request>(m_strand);
-    request->entry = waiting;
+    request->waitingTicket = waiting;
     request->control = control;
     request->cancelled = control->cancelled();
-    request->wake.expires_at(waiting.deadline);
+    request->wakeTimer.expires_at(waiting.deadline);
     m_waiting[waiting.id] = request;
     ++m_waitingByAccount[waiting.account];
     m_waitingCount = m_waiting.size();
     m_port.submit(waiting);
     auto error = boost::system::error_code();
     if (!request->granted && !request->refused && !request->cancelled) {
-        co_await request->wake.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        co_await request->wakeTimer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
-    co_return outcome(request, *why);
+    co_return endWait(request, *why);
 }
 
-auto ticket_queue::admit(const ticket &waiting, last_reason &why) -> bool
+auto ticket_queue::checkLimits(const ticket &waiting, last_reason &why) -> bool
 {
     const auto limit = m_accountLimit ? m_accountLimit(waiting.account) : m_overallLimit;
     const auto found = m_waitingByAccount.find(waiting.account);
-    const auto ofAccount = found == m_waitingByAccount.end() ? 0 : found->second;
-    if (ofAccount < limit && m_waiting.size() < m_overallLimit) {
+    const auto accountCount = found == m_waitingByAccount.end() ? 0 : found->second;
+    if (accountCount < limit && m_waiting.size() < m_overallLimit) {
         return true;
     }
     m_counters.at("marjoramloom_refused_total", "reason=\"queue_full\"").add();
@@ -98,36 +98,36 @@
     return false;
 }
 
-auto ticket_queue::outcome(const std::shared_ptr<waiting_request> &request, last_reason &why) -> std::optional<grant>
+auto ticket_queue::endWait(const std::shared_ptr<waiting_request> &request, last_reason &why) -> std::optional<grant>
 {
-    const auto &entry = request->entry;
-    m_waiting.erase(entry.id);
-    auto &ofAccount = m_waitingByAccount[entry.account];
-    if (--ofAccount == 0) {
-        m_waitingByAccount.erase(entry.account);
+    const auto &waitingTicket = request->waitingTicket;
+    m_waiting.erase(waitingTicket.id);
+    auto &accountCount = m_waitingByAccount[waitingTicket.account];
+    if (--accountCount == 0) {
+        m_waitingByAccount.erase(waitingTicket.account);
     }
     m_waitingCount = m_waiting.size();
     if (request->granted) {
         return request->granted;
     }
-    m_port.withdraw(entry.origin, entry.id);
+    m_port.withdraw(waitingTicket.origin, waitingTicket.id);
     if (request->cancelled) {
         return why.fail(failure_kind::cancelled, "wait for a backend server", "", "the caller left");
     }
     const auto reason = request->refused ? request->refused->reason : refusal_reason::deadline;
     m_counters.at("marjoramloom_refused_total", "reason=\"" + std::string(nameOf(reason)) + "\"").add();
     const auto kind = reason == refusal_reason::deadline ? failure_kind::deadlineExceeded : failure_kind::overloaded;
-    return why.fail(kind, "wait for a backend server", entry.origin.dataCentre, nameOf(reason));
+    return why.fail(kind, "wait for a backend server", waitingTicket.origin.dataCentre, nameOf(reason));
 }
 
 auto ticket_queue::handleGrant(const grant &granted) -> void
 {
     const auto found = m_waiting.find(granted.ticket);
     if (found == m_waiting.end() || found->second->granted || found->second->refused) {
-        const auto known = m_running.find(granted.ticket);
-        const auto repeated = known != m_running.end() && known->second.granted.pool == granted.pool
-            && known->second.granted.server == granted.server;
-        if (!repeated) {
+        const auto running = m_running.find(granted.ticket);
+        const auto isDuplicate = running != m_running.end() && running->second.granted.pool == granted.pool
+            && running->second.granted.server == granted.server;
+        if (!isDuplicate) {
             m_counters.at("marjoramloom_surplus_grants_total").add();
             m_port.settle(granted, 0, 0);
         }
@@ -135,12 +135,12 @@
     }
     const auto &request = found->second;
     request->granted = granted;
-    m_running[granted.ticket] = { granted, request->entry.length, 0, 0, request->control };
+    m_running[granted.ticket] = { granted, request->waitingTicket.length, 0, 0, request->control };
     m_runningCount = m_running.size();
-    if (granted.pool != request->entry.origin) {
-        m_port.withdraw(request->entry.origin, granted.ticket);
+    if (granted.pool != request->waitingTicket.origin) {
+        m_port.withdraw(request->waitingTicket.origin, granted.ticket);
     }
-    request->wake.cancel();
+    request->wakeTimer.cancel();
 }
 
 auto ticket_queue::handleRefusal(const refusal &refused) -> void
@@ -150,18 +150,18 @@
         return;
     }
     found->second->refused = refused;
-    found->second->wake.cancel();
+    found->second->wakeTimer.cancel();
 }
 
-auto ticket_queue::handleSuspension(const suspension &asked) -> void
+auto ticket_queue::handleSuspension(const suspension &requested) -> void
 {
-    const auto found = m_running.find(asked.ticket);
+    const auto found = m_running.find(requested.ticket);
     if (found != m_running.end()) {
-        found->second.control->suspend(asked.ticket);
+        found->second.control->suspend(requested.ticket);
     }
 }
 
-auto ticket_queue::moveFrom(object_id server) -> void
+auto ticket_queue::moveRequestsFrom(object_id server) -> void
 {
     for (const auto &[id, request] : m_running) {
         if (request.granted.server == server) {
@@ -175,7 +175,7 @@
     const auto found = m_waiting.find(id);
     if (found != m_waiting.end() && !found->second->granted) {
         found->second->cancelled = true;
-        found->second->wake.cancel();
+        found->second->wakeTimer.cancel();
     }
 }
 
@@ -192,9 +192,9 @@
 auto ticket_queue::reportProgress() -> void
 {
     for (auto &[id, request] : m_running) {
-        const auto growth = request.cost - request.reportedCost;
-        if (growth > 0 && growth >= reportedShare * request.granted.charged) {
-            m_port.progress(request.granted, request.cost, growth);
+        const auto costDelta = request.cost - request.reportedCost;
+        if (costDelta > 0 && costDelta >= minReportedFraction * request.granted.charged) {
+            m_port.progress(request.granted, request.cost, costDelta);
             request.reportedCost = request.cost;
         }
     }
@@ -219,19 +219,19 @@
 
 auto ticket_queue::resubmit() -> void
 {
-    // Copied first: a dispatcher in this process may grant at once, which changes the map.
+    // Copy the tickets first: a dispatcher on this router may grant at once, which changes the map.
     auto waiting = std::vector<ticket>();
     for (const auto &[id, request] : m_waiting) {
         if (!request->granted && !request->refused) {
-            waiting.push_back(request->entry);
+            waiting.push_back(request->waitingTicket);
         }
     }
-    for (const auto &entry : waiting) {
-        m_port.submit(entry);
+    for (const auto &waitingTicket : waiting) {
+        m_port.submit(waitingTicket);
     }
 }
 
-auto ticket_queue::running() const -> std::vector<granted_request>
+auto ticket_queue::runningRequests() const -> std::vector<granted_request>
 {
     auto all = std::vector<granted_request>();
     for (const auto &[id, request] : m_running) {
--- a/tests/process/router/bad_input_test.cpp
+++ b/tests/process/router/bad_input_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A connection of a caller that does not keep to the rules.
+/// A client connection that can send arbitrary bytes.
 class raw_connection
 {
 public:
@@ -35,7 +35,7 @@
         m_socket.shutdown(tcp::socket::shutdown_send);
     }
 
-    /// Everything up to the end of the connection.
+    /// Reads until the server closes the connection.
     auto readAll() -> std::string
     {
         auto bytes = std::string();
@@ -54,7 +54,7 @@
     return text.find(part) != std::string::npos;
 }
 
-auto stepOf(const http_answer &answer) -> std::string
+auto failedStep(const http_answer &answer) -> std::string
 {
     auto error = boost::system::error_code();
     const auto body = boost::json::parse(answer.body, error);
@@ -62,7 +62,7 @@
     return step ? std::string(step->as_string()) : std::string();
 }
 
-auto stillServes(fleet &all) -> bool
+auto servesRequests(fleet &all) -> bool
 {
     const auto prompt = std::string("are you there tokens=3");
     return answerText(all.chat(all.routers().front(), "alpha", prompt)) == expectedText(prompt);
@@ -80,16 +80,16 @@
 
 BOOST_AUTO_TEST_SUITE(bad_input_test)
 
-BOOST_AUTO_TEST_CASE(wrong_requests_are_refused_with_the_step_and_are_not_run)
+BOOST_AUTO_TEST_CASE(invalid_requests_are_rejected_with_the_failed_step_and_not_run)
 {
     auto all = fleet(smallFleet());
     auto &router = all.routers().front();
     const auto unknownAccount = all.chat(router, "nobody", "hello");
     BOOST_TEST(unknownAccount.status == 401U);
-    BOOST_TEST(stepOf(unknownAccount) == "authenticate");
+    BOOST_TEST(failedStep(unknownAccount) == "authenticate");
     const auto unknownModel = all.chat(router, "alpha", "hello", false, "no-such-model");
     BOOST_TEST(unknownModel.status == 404U);
-    BOOST_TEST(stepOf(unknownModel) == "find service");
+    BOOST_TEST(failedStep(unknownModel) == "find service");
     const auto keyMissing = all.callService(router, "alpha", "orders", "/place", "{}");
     BOOST_TEST(keyMissing.status == 400U);
     BOOST_TEST(keyMissing.headers.count("x-not-run") == 1U);
@@ -104,10 +104,10 @@
     for (const auto &engine : all.engines()) {
         BOOST_TEST(engine->record().empty());
     }
-    BOOST_TEST(stillServes(all));
+    BOOST_TEST(servesRequests(all));
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_breaks_the_protocol_is_counted_and_harms_nobody)
+BOOST_AUTO_TEST_CASE(protocol_violations_are_counted_and_do_not_affect_other_callers)
 {
     auto all = fleet(smallFleet());
     auto &router = all.routers().front();
@@ -116,17 +116,17 @@
     BOOST_TEST(contains(garbage.readAll(), "400"));
     auto slow = raw_connection(router.callers);
     slow.send("POST /v1/chat/completions HTTP/1.1\r\nContent-Le");
-    BOOST_TEST(stillServes(all));
+    BOOST_TEST(servesRequests(all));
     slow.readAll();
     auto halfClosed = raw_connection(router.callers);
     halfClosed.send("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 10\r\n\r\n{}");
     halfClosed.closeSending();
     halfClosed.readAll();
     BOOST_TEST(all.metric(router, "marjoramloom_bad_requests_total{listener=\"callers\"}") == 3);
-    BOOST_TEST(stillServes(all));
+    BOOST_TEST(servesRequests(all));
 }
 
-BOOST_AUTO_TEST_CASE(garbage_on_the_peer_port_harms_nobody)
+BOOST_AUTO_TEST_CASE(garbage_on_the_peer_port_does_not_affect_callers)
 {
     auto all = fleet(smallFleet());
     for (auto attempt = 0; attempt < 20; ++attempt) {
@@ -134,10 +134,10 @@
         garbage.send(std::string(64, static_cast<char>(attempt)));
         garbage.closeSending();
     }
-    BOOST_TEST(stillServes(all));
+    BOOST_TEST(servesRequests(all));
 }
 
-BOOST_AUTO_TEST_CASE(operators_need_their_key_and_their_errors_say_what_is_wrong)
+BOOST_AUTO_TEST_CASE(operators_need_their_key_and_an_invalid_change_is_not_applied)
 {
     auto all = fleet(smallFleet());
     auto &router = all.routers().front();
@@ -145,7 +145,7 @@
     auto output = std::string();
     BOOST_TEST(all.apply(router, "[[service]]\nname = \"x\"\nkind = \"model\"\nprofile = \"absent\"\n") != 0);
     BOOST_TEST(all.sequenceAt(router) == 1);
-    BOOST_TEST(stillServes(all));
+    BOOST_TEST(servesRequests(all));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/process/router/whole_path_test.cpp
+++ b/tests/process/router/whole_path_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-auto startedCount(standin &engine) -> std::size_t
+auto startedRequestCount(standin &engine) -> std::size_t
 {
     auto count = std::size_t(0);
     for (const auto &entry : engine.record()) {
@@ -38,14 +38,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_operators_change_is_in_force_at_every_router)
+BOOST_AUTO_TEST_CASE(an_operators_change_becomes_active_on_every_router)
 {
     auto all = fleet();
     const auto otherKey = std::string(64, 'a');
     BOOST_TEST(
         all.apply(all.routers().back(), "[[client_account]]\nname = \"alpha\"\nkey_hashes = [\"" + otherKey + "\"]\n")
         == 0);
-    const auto inForce = [&] {
+    const auto isActiveEverywhere = [&] {
         for (const auto &router : all.routers()) {
             if (all.chat(router, "alpha", "hello tokens=2").status != 401U) {
                 return false;
@@ -53,10 +53,10 @@
         }
         return true;
     };
-    BOOST_TEST(waitUntil(5'000, inForce));
+    BOOST_TEST(waitUntil(5'000, isActiveEverywhere));
 }
 
-BOOST_AUTO_TEST_CASE(a_repeated_order_gets_the_stored_answer_from_any_router)
+BOOST_AUTO_TEST_CASE(a_retried_order_gets_the_stored_answer_from_any_router)
 {
     auto all = fleet();
     const auto first = all.callService(all.routers().front(), "alpha", "orders", "/place", "{\"coach\":1}", "k");
@@ -73,7 +73,7 @@
     BOOST_TEST(executed == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_is_told_to_stop_finishes_its_streams)
+BOOST_AUTO_TEST_CASE(a_stopping_router_finishes_its_streams)
 {
     auto plan = fleet_plan();
     plan.tokenMs = 20;
@@ -82,10 +82,10 @@
     const auto prompt = std::string("a long status tokens=150");
     auto answer = http_answer();
     auto caller = std::thread([&] { answer = all.chat(router, "alpha", prompt, true); });
-    const auto running = [&] {
-        return startedCount(*all.engines().front()) > 0;
+    const auto hasStarted = [&] {
+        return startedRequestCount(*all.engines().front()) > 0;
     };
-    BOOST_TEST(waitUntil(5'000, running));
+    BOOST_TEST(waitUntil(5'000, hasStarted));
     router.process->signal(SIGTERM);
     caller.join();
     BOOST_TEST(answer.whole);
--- a/tests/unit/router/http_server_test.cpp
+++ b/tests/unit/router/http_server_test.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// Counts the requests and answers each with the same body.
 struct counting_handler
 {
     auto handle(http_exchange &exchange) -> boost::asio::awaitable<void>
@@ -28,15 +29,15 @@
 
 BOOST_AUTO_TEST_SUITE(http_server_test)
 
-BOOST_AUTO_TEST_CASE(connections_that_come_while_the_gate_is_closed_end_unread)
+BOOST_AUTO_TEST_CASE(connections_are_closed_unread_while_the_gate_is_closed)
 {
     auto context = boost::asio::io_context(1);
     auto counters = counter_registry();
     auto handler = counting_handler();
     auto isOpen = std::atomic<bool>(false);
     auto server = std::make_shared<http_server<counting_handler>>(context, handler, counters, "test", http_limits(),
-                                                                  session_concurrency::oneThread);
-    server->setGate([&] { return isOpen.load(); });
+                                                                  session_concurrency::singleThread);
+    server->setConnectionGate([&] { return isOpen.load(); });
     auto why = last_reason();
     const auto port = server->listen("127.0.0.1:0", why);
     BOOST_REQUIRE(port.has_value());
@@ -47,7 +48,7 @@
         const auto answer = test::httpCall(address, {});
         BOOST_TEST(answer.status == 0U);
     }
-    // At once, so that the caller has time left for another router.
+    // Refused immediately, so that the caller has time left to retry on another router.
     BOOST_TEST((std::chrono::steady_clock::now() - began < std::chrono::seconds(1)));
     BOOST_TEST(handler.handled == 0);
     isOpen = true;
@@ -57,42 +58,43 @@
     loop.join();
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_falls_behind_keeps_few_connections_waiting)
+BOOST_AUTO_TEST_CASE(an_overloaded_server_keeps_a_short_accept_backlog)
 {
-    // What waits in a long queue is not seen by anybody: its callers learn too late that they should turn elsewhere.
+    // In a long backlog, callers would find out too late that they should retry on another router.
     constexpr auto callers = 400;
     auto context = boost::asio::io_context(1);
     auto counters = counter_registry();
     auto handler = counting_handler();
     auto server = std::make_shared<http_server<counting_handler>>(context, handler, counters, "test", http_limits(),
-                                                                  session_concurrency::oneThread);
+                                                                  session_concurrency::singleThread);
     auto why = last_reason();
     const auto port = server->listen("127.0.0.1:0", why);
     BOOST_REQUIRE(port.has_value());
-    auto calling = boost::asio::io_context(1);
+    auto clientContext = boost::asio::io_context(1);
     auto sockets = std::vector<boost::asio::ip::tcp::socket>();
-    auto waiting = 0;
+    auto connected = 0;
     for (auto index = 0; index < callers; ++index) {
-        sockets.emplace_back(calling);
+        sockets.emplace_back(clientContext);
     }
     const auto address = boost::asio::ip::tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), *port);
     for (auto &socket : sockets) {
-        socket.async_connect(address, [&](const boost::system::error_code &error) { waiting += error ? 0 : 1; });
+        socket.async_connect(address, [&](const boost::system::error_code &error) { connected += error ? 0 : 1; });
     }
-    calling.run_for(std::chrono::milliseconds(500)); // The server's loop does not run.
-    BOOST_TEST(waiting > 0);
-    BOOST_TEST(waiting < callers / 2);
+    clientContext.run_for(
+        std::chrono::milliseconds(500)); // The server's event loop does not run, so it accepts nothing.
+    BOOST_TEST(connected > 0);
+    BOOST_TEST(connected < callers / 2);
 }
 
-BOOST_AUTO_TEST_CASE(connections_beyond_what_is_kept_are_closed_after_their_answers)
+BOOST_AUTO_TEST_CASE(connections_above_the_keep_alive_limit_are_closed_after_their_answers)
 {
     auto context = boost::asio::io_context(1);
     auto counters = counter_registry();
     auto handler = counting_handler();
     auto limits = http_limits();
-    limits.keptConnections = 3;
+    limits.maxKeepAliveConnections = 3;
     auto server = std::make_shared<http_server<counting_handler>>(context, handler, counters, "test", limits,
-                                                                  session_concurrency::oneThread);
+                                                                  session_concurrency::singleThread);
     auto why = last_reason();
     const auto port = server->listen("127.0.0.1:0", why);
     BOOST_REQUIRE(port.has_value());
@@ -101,7 +103,7 @@
     auto callers = std::vector<std::unique_ptr<test::kept_caller>>();
     for (auto index = 0; index < 6; ++index) {
         callers.push_back(std::make_unique<test::kept_caller>(address));
-        BOOST_TEST(callers.back()->call({}).body == "served"); // Also those whose connection ends with it.
+        BOOST_TEST(callers.back()->call({}).body == "served"); // Also on connections that are closed afterwards.
     }
     BOOST_TEST(test::waitUntil(1'000, [&] { return server->connections() == 3U; }));
     context.stop();
--- a/tests/unit/router/request_head_test.cpp
+++ b/tests/unit/router/request_head_test.cpp
@@ -7,18 +7,18 @@
 
 BOOST_AUTO_TEST_SUITE(request_head_test)
 
-BOOST_AUTO_TEST_CASE(a_sound_head_is_recognized_at_its_end_only)
+BOOST_AUTO_TEST_CASE(a_valid_head_is_accepted_only_when_it_is_complete)
 {
     const auto head = std::string("POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nX-Empty:\r\n\r\n");
     for (auto size = std::size_t(0); size < head.size(); ++size) {
         BOOST_TEST((checkRequestHead(std::string_view(head).substr(0, size)) == head_state::incomplete), size);
     }
-    BOOST_TEST((checkRequestHead(head + "abc") == head_state::sound));
+    BOOST_TEST((checkRequestHead(head + "abc") == head_state::valid));
     BOOST_TEST(
-        (checkRequestHead("GET / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n") == head_state::sound));
+        (checkRequestHead("GET / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n") == head_state::valid));
 }
 
-BOOST_AUTO_TEST_CASE(what_two_readers_could_take_differently_is_malformed)
+BOOST_AUTO_TEST_CASE(heads_that_parsers_could_interpret_differently_are_malformed)
 {
     const auto start = std::string("POST / HTTP/1.1\r\nHost: x\r\n");
     for (const auto *rest :
--- a/tests/unit/router/settings_test.cpp
+++ b/tests/unit/router/settings_test.cpp
@@ -62,19 +62,19 @@
     BOOST_TEST(contains(error, "router.toml:13: 'peers.heartbeat_ms' must be from 50 to 10000"), error);
 }
 
-BOOST_AUTO_TEST_CASE(a_wrong_type_is_named)
+BOOST_AUTO_TEST_CASE(a_value_of_the_wrong_type_is_named)
 {
     const auto error = errorOf(complete + "[limits]\nqueue = \"many\"\n");
     BOOST_TEST(contains(error, "'limits.queue' must be a whole number"), error);
 }
 
-BOOST_AUTO_TEST_CASE(contradicting_values_are_refused)
+BOOST_AUTO_TEST_CASE(contradicting_values_are_rejected)
 {
     const auto error = errorOf(complete + "[peers]\nheartbeat_ms = 1000\ntimeout_ms = 1500\n");
     BOOST_TEST(contains(error, "at least three times heartbeat_ms"), error);
 }
 
-BOOST_AUTO_TEST_CASE(a_gateway_runs_on_one_thread)
+BOOST_AUTO_TEST_CASE(a_gateway_requires_a_single_thread)
 {
     BOOST_TEST(contains(errorOf(complete + "[gateway]\n"), "instance.threads must be 1"));
     const auto single = std::string("[instance]\nthreads = 1\n") + complete.substr(complete.find('\n') + 1);
@@ -90,7 +90,7 @@
     BOOST_TEST(parsed->gateway->maxFileDescriptors == 4'100U);
 }
 
-BOOST_AUTO_TEST_CASE(missing_keys_and_text_that_is_not_toml_are_refused)
+BOOST_AUTO_TEST_CASE(missing_keys_and_invalid_toml_are_rejected)
 {
     BOOST_TEST(contains(errorOf(""), "'instance.name' is missing"));
     BOOST_TEST(contains(errorOf("[instance\n"), "router.toml:1"));
