--- a/bench/allocation_count.h
+++ b/bench/allocation_count.h
@@ -4,7 +4,8 @@
 
 namespace marjoramloom {
 
-/// Bytes that operator new gave out and did not get back, allocator overhead included. Only slopes_bench counts them.
+/// Bytes currently allocated through operator new, including allocator overhead. Defined by slopes_bench only, which
+/// replaces operator new.
 auto allocatedBytes() -> std::size_t;
 
 } // namespace marjoramloom
--- a/bench/control_message.h
+++ b/bench/control_message.h
@@ -8,19 +8,21 @@
 
 namespace marjoramloom::bench {
 
-/// Messages between routers, as the decision code has them. `pool` names the dispatcher that is meant.
+/// A new ticket for the dispatcher of the pool.
 struct submit_message
 {
     pool_id pool;
-    ticket waiting;
+    ticket submittedTicket;
 };
 
+/// Withdraws a ticket that still waits.
 struct withdraw_message
 {
     pool_id pool;
     ticket_id id;
 };
 
+/// Reports the weighted tokens that a running request has used so far.
 struct progress_message
 {
     pool_id pool;
@@ -28,6 +30,7 @@
     double cost = 0;
 };
 
+/// Ends a granted ticket with its final cost in weighted tokens.
 struct settle_message
 {
     pool_id pool;
@@ -35,18 +38,21 @@
     double cost = 0;
 };
 
+/// Sends the digest of one dispatcher to the dispatcher of another pool.
 struct digest_message
 {
-    pool_id to;
+    pool_id receiver;
     pool_digest digest;
 };
 
+/// Reports the observed pace of a backend server.
 struct sample_message
 {
     pool_id pool;
     pace_sample sample;
 };
 
+/// Any message that routers send each other.
 using control_message = std::variant<submit_message, withdraw_message, progress_message, settle_message, digest_message,
                                      sample_message, grant, refusal, suspension, pull_request, service_total>;
 
--- a/bench/control_network.cpp
+++ b/bench/control_network.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr auto flushDelay = std::chrono::microseconds(500); ///< Messages of this long share an envelope.
+constexpr auto flushDelay = std::chrono::microseconds(500); ///< Messages sent within this time share an envelope.
 
-/// Adds messages to an envelope, as the routers send them.
+/// Encodes messages into an envelope with the codec of the routers.
 struct envelope_writer
 {
     wire::Envelope &envelope;
@@ -18,7 +18,7 @@
 
     auto operator()(const submit_message &message) const -> void
     {
-        encode(addressed_ticket{ message.waiting, message.pool }, now, *envelope.add_tickets());
+        encode(addressed_ticket{ message.submittedTicket, message.pool }, now, *envelope.add_tickets());
     }
 
     auto operator()(const withdraw_message &message) const -> void
@@ -87,8 +87,8 @@
 
 } // namespace
 
-control_network::control_network(fleet &where, receiver deliver)
-    : m_fleet(where)
+control_network::control_network(fleet &simulatedFleet, receive_handler deliver)
+    : m_fleet(simulatedFleet)
     , m_deliver(std::move(deliver))
 {
 }
@@ -111,7 +111,7 @@
         return;
     }
     auto &control = m_fleet.results().control;
-    ++control.messages;
+    ++control.envelopes;
     control.bytesByRouter.resize(m_fleet.routerCount());
     const auto size = wireSize(messages, incarnationOf(from), m_fleet.queue().now());
     control.bytes += size;
--- a/bench/control_network.h
+++ b/bench/control_network.h
@@ -5,16 +5,16 @@
 
 namespace marjoramloom::bench {
 
-/// Carries messages between routers: those for one receiver are sent together after a short while. Counts them, and
-/// their bytes as the routers' codec writes them. Not thread safe.
+/// Carries messages between simulated routers. Messages with the same sender and receiver are batched into an envelope;
+/// envelopes and their encoded bytes are counted in the results. Not thread safe.
 class control_network
 {
 public:
-    using receiver =
+    using receive_handler =
         std::function<void(std::uint32_t to, std::uint32_t from, const std::vector<control_message> &messages)>;
 
-    /// Precondition: \p where outlives the network.
-    control_network(fleet &where, receiver deliver);
+    /// Precondition: \p simulatedFleet outlives the network.
+    control_network(fleet &simulatedFleet, receive_handler deliver);
 
     auto send(std::uint32_t from, std::uint32_t to, control_message message) -> void;
 
@@ -22,7 +22,7 @@
     auto flush(std::uint32_t from, std::uint32_t to) -> void;
 
     fleet &m_fleet;
-    receiver m_deliver;
+    receive_handler m_deliver;
     std::map<std::pair<std::uint32_t, std::uint32_t>, std::vector<control_message>> m_outboxes;
 };
 
--- a/bench/direct_policy.h
+++ b/bench/direct_policy.h
@@ -4,7 +4,7 @@
 
 namespace marjoramloom::bench {
 
-/// How a router on its own picks an engine, for requests that it sends on at once.
+/// Chooses an engine from the numbers of requests that one router has outstanding at each.
 template<typename Choice>
 concept engine_choice = requires(Choice &choice, std::uint32_t router, const std::vector<std::uint32_t> &outstanding)
 {
@@ -13,7 +13,7 @@
         } -> std::same_as<std::size_t>;
 };
 
-/// Engines in turn.
+/// Chooses the engines of a service in turn.
 class round_robin
 {
 public:
@@ -23,7 +23,7 @@
     std::map<std::uint32_t, std::size_t> m_next; ///< By router.
 };
 
-/// The engine with the fewest requests of this router; in turn among equals.
+/// Chooses the engine with the fewest outstanding requests of the router; ties are broken in turn.
 class least_outstanding
 {
 public:
@@ -33,42 +33,43 @@
     std::map<std::uint32_t, std::size_t> m_next; ///< By router.
 };
 
-/// Routers send each request to an engine at once; engines serve first come, first served. Not thread safe.
+/// Baseline without dispatchers: routers send each request to an engine at once, where it waits first in, first out.
+/// Not thread safe.
 template<engine_choice Choice>
 class direct_policy
 {
 public:
-    explicit direct_policy(fleet &where)
-        : m_fleet(where)
+    explicit direct_policy(fleet &simulatedFleet)
+        : m_fleet(simulatedFleet)
     {
     }
 
     auto start() -> void {}
 
-    auto submit(live_request &asked) -> void
+    auto submit(live_request &request) -> void
     {
-        const auto service = m_fleet.classOf(asked).target;
-        auto &outstanding = m_outstanding[{ asked.router, service }];
+        const auto service = m_fleet.classOf(request).target;
+        auto &outstanding = m_outstanding[{ request.router, service }];
         outstanding.resize(m_fleet.engineCount(service));
-        const auto index = m_choices[service].pick(asked.router, outstanding);
+        const auto index = m_choices[service].pick(request.router, outstanding);
         ++outstanding[index];
-        m_chosen[asked.key] = index;
-        m_fleet.place(asked, m_fleet.engineNumber(service, index));
+        m_engineIndexByRequest[request.key] = index;
+        m_fleet.startAttempt(request, m_fleet.engineNumber(service, index));
     }
 
-    auto onFirstToken(live_request &, place_key) -> void {}
+    auto onFirstToken(live_request &, attempt_key) -> void {}
 
-    auto onFinished(live_request &done, place_key) -> void
+    auto onFinished(live_request &request, attempt_key) -> void
     {
-        const auto chosen = m_chosen.extract(done.key);
-        --m_outstanding[{ done.router, m_fleet.classOf(done).target }][chosen.mapped()];
+        const auto engineIndex = m_engineIndexByRequest.extract(request.key);
+        --m_outstanding[{ request.router, m_fleet.classOf(request).target }][engineIndex.mapped()];
     }
 
 private:
     fleet &m_fleet;
     std::map<service_index, Choice> m_choices;
     std::map<std::pair<std::uint32_t, service_index>, std::vector<std::uint32_t>> m_outstanding;
-    std::unordered_map<request_key, std::size_t> m_chosen;
+    std::unordered_map<request_key, std::size_t> m_engineIndexByRequest;
 };
 
 } // namespace marjoramloom::bench
--- a/bench/dispatched_policy.inl
+++ b/bench/dispatched_policy.inl
@@ -3,27 +3,27 @@
 namespace marjoramloom::bench {
 
 template<dispatch_layout Layout>
-dispatched_policy<Layout>::dispatched_policy(fleet &where)
-    : m_fleet(where)
-    , m_network(where, [this](auto to, auto, const auto &messages) { receive(to, messages); })
-    , m_routers(where.routerCount())
-    , m_domains(Layout::domains(where))
+dispatched_policy<Layout>::dispatched_policy(fleet &simulatedFleet)
+    : m_fleet(simulatedFleet)
+    , m_network(simulatedFleet, [this](auto to, auto, const auto &messages) { receive(to, messages); })
+    , m_routers(simulatedFleet.routerCount())
+    , m_domains(Layout::domains(simulatedFleet))
 {
     auto weights = std::map<object_id, double>();
-    for (auto account = std::size_t(0); account < where.where().accounts.size(); ++account) {
-        weights[accountId(account)] = where.where().accounts[account].weight;
+    for (auto account = std::size_t(0); account < simulatedFleet.deployment().accounts.size(); ++account) {
+        weights[accountId(account)] = simulatedFleet.deployment().accounts[account].weight;
     }
     for (auto &router : m_routers) {
         router.ledger.setWeights(weights);
         router.hedges = std::make_unique<hedge_policy>(m_settings.hedgeBudget);
     }
     for (auto index = std::size_t(0); index < m_domains.size(); ++index) {
-        makeDomain(index);
+        createDispatcher(index);
     }
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::makeDomain(std::size_t index) -> void
+auto dispatched_policy<Layout>::createDispatcher(std::size_t index) -> void
 {
     const auto &domain = m_domains[index];
     m_domainByPool[domain.pool] = index;
@@ -50,71 +50,75 @@
 template<dispatch_layout Layout>
 auto dispatched_policy<Layout>::setRefusalListener(refusal_listener listener) -> void
 {
-    m_refused = std::move(listener);
+    m_refusalListener = std::move(listener);
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::repeat(duration period, std::function<void()> action) -> void
+auto dispatched_policy<Layout>::schedulePeriodically(duration period, std::function<void()> action) -> void
 {
     m_fleet.queue().after(period, [this, period, action] {
         action();
-        repeat(period, action);
+        schedulePeriodically(period, action);
     });
 }
 
 template<dispatch_layout Layout>
 auto dispatched_policy<Layout>::start() -> void
 {
-    repeat(m_settings.reportPeriod, [this] { reportUse(); });
-    repeat(m_settings.digestPeriod, [this] { sendDigests(); });
-    repeat(m_settings.decidePeriod, [this] {
+    schedulePeriodically(m_settings.reportPeriod, [this] { reportUsage(); });
+    schedulePeriodically(m_settings.digestPeriod, [this] { sendDigests(); });
+    schedulePeriodically(m_settings.decisionPeriod, [this] {
         for (auto domain = std::size_t(0); domain < m_domains.size(); ++domain) {
             decide(domain);
         }
     });
     if constexpr (Layout::EXCHANGES_DIGESTS) {
-        // Engines report all that they run, which says nothing to a router that owns a part of their slots.
-        repeat(m_settings.digestPeriod, [this] { sendLoadReports(); });
+        // Load reports count the requests of all routers. Where a router owns only some slots of an engine, they would
+        // not tell how many of these are busy.
+        schedulePeriodically(m_settings.digestPeriod, [this] { sendLoadReports(); });
     }
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::estimate(const live_request &asked) -> double
+auto dispatched_policy<Layout>::estimateRemainingCost(const live_request &request) -> double
 {
-    const auto &costs = m_routers[asked.router].costs;
-    const auto whole = costs.expected(accountId(asked.account), profileId(asked.drawn.kind), asked.drawn.hint);
-    return std::max(1.0, whole - m_fleet.costOf(asked));
+    const auto &costs = m_routers[request.router].costs;
+    const auto expectedTotal =
+        costs.expected(accountId(request.account), profileId(request.drawn.classIndex), request.drawn.outputHint);
+    return std::max(1.0, expectedTotal - m_fleet.costOf(request));
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::submit(live_request &asked) -> void
+auto dispatched_policy<Layout>::submit(live_request &request) -> void
 {
-    if (m_fleet.classOf(asked).hedged) {
-        m_routers[asked.router].hedges->onCall();
+    if (m_fleet.classOf(request).hedged) {
+        m_routers[request.router].hedges->onCall();
     }
-    submitTicket(asked, false, {});
+    submitTicket(request, false, {});
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::submitTicket(live_request &asked, bool hedge, std::vector<object_id> excluded) -> void
+auto dispatched_policy<Layout>::submitTicket(live_request &request, bool isHedge, std::vector<object_id> excluded)
+    -> void
 {
-    const auto &rules = m_fleet.classOf(asked);
-    const auto domain = Layout::domainOf(m_fleet, asked.router, rules.target);
-    auto waiting = ticket();
-    waiting.id = { incarnationOf(asked.router), ++m_routers[asked.router].lastSerial };
-    waiting.origin = m_domains[domain].pool;
-    waiting.account = accountId(asked.account);
-    waiting.profile = profileId(asked.drawn.kind);
-    waiting.length = rules.length;
-    waiting.expectedCost = estimate(asked);
-    waiting.prefixHash = asked.drawn.prefixHash;
-    waiting.submitted = m_fleet.queue().now();
-    waiting.deadline = waiting.submitted + (hedge ? m_settings.hedgeWait : fromSeconds(rules.maxWaitSeconds));
-    waiting.suspensions = asked.suspensions;
-    waiting.suspendable = rules.suspendable && asked.suspensions < rules.maxSuspensions;
-    waiting.excluded = std::move(excluded);
-    m_waiting[waiting.id] = { asked.key, domain, hedge };
-    m_network.send(asked.router, m_domains[domain].host, submit_message{ waiting.origin, waiting });
+    const auto &requestClass = m_fleet.classOf(request);
+    const auto domain = Layout::domainOf(m_fleet, request.router, requestClass.target);
+    auto submitted = ticket();
+    submitted.id = { incarnationOf(request.router), ++m_routers[request.router].lastTicketSerial };
+    submitted.origin = m_domains[domain].pool;
+    submitted.account = accountId(request.account);
+    submitted.profile = profileId(request.drawn.classIndex);
+    submitted.length = requestClass.length;
+    submitted.expectedCost = estimateRemainingCost(request);
+    submitted.prefixHash = request.drawn.prefixHash;
+    submitted.submitted = m_fleet.queue().now();
+    submitted.deadline =
+        submitted.submitted + (isHedge ? m_settings.hedgeWait : fromSeconds(requestClass.maxWaitSeconds));
+    submitted.suspensions = request.suspensions;
+    submitted.suspendable = requestClass.suspendable && request.suspensions < requestClass.maxSuspensions;
+    submitted.excluded = std::move(excluded);
+    m_waitingTickets[submitted.id] = { request.key, domain, isHedge };
+    m_network.send(request.router, m_domains[domain].host, submit_message{ submitted.origin, submitted });
 }
 
 template<dispatch_layout Layout>
@@ -123,13 +127,13 @@
     for (const auto &message : messages) {
         std::visit([this, to](const auto &typed) { handle(to, typed); }, message);
     }
-    decideHostedBy(to);
+    decideHostedDomains(to);
 }
 
 template<dispatch_layout Layout>
 auto dispatched_policy<Layout>::handle(std::uint32_t, const submit_message &message) -> void
 {
-    m_dispatchers[domainOfPool(message.pool)]->submit(message.waiting, m_fleet.queue().now());
+    m_dispatchers[domainOfPool(message.pool)]->submit(message.submittedTicket, m_fleet.queue().now());
 }
 
 template<dispatch_layout Layout>
@@ -153,7 +157,7 @@
 template<dispatch_layout Layout>
 auto dispatched_policy<Layout>::handle(std::uint32_t, const digest_message &message) -> void
 {
-    m_dispatchers[domainOfPool(message.to)]->absorbDigest(message.digest, m_fleet.queue().now());
+    m_dispatchers[domainOfPool(message.receiver)]->absorbDigest(message.digest, m_fleet.queue().now());
 }
 
 template<dispatch_layout Layout>
@@ -172,9 +176,9 @@
 auto dispatched_policy<Layout>::handle(std::uint32_t at, const pull_request &message) -> void
 {
     const auto now = m_fleet.queue().now();
-    const auto asker = m_domains[domainOfPool(message.from)].host;
+    const auto requestingHost = m_domains[domainOfPool(message.from)].host;
     for (const auto &released : m_dispatchers[domainOfPool(message.to)]->releaseForPull(message, now)) {
-        m_network.send(at, asker, submit_message{ message.from, released });
+        m_network.send(at, requestingHost, submit_message{ message.from, released });
     }
 }
 
@@ -182,222 +186,228 @@
 auto dispatched_policy<Layout>::handle(std::uint32_t at, const grant &message) -> void
 {
     const auto domain = domainOfPool(message.pool);
-    const auto waiting = m_waiting.extract(message.ticket);
-    auto *asked = waiting.empty() ? nullptr : m_fleet.request(waiting.mapped().request);
-    const auto wanted = asked != nullptr && (!waiting.mapped().hedge || m_placesByRequest.contains(asked->key));
-    if (!wanted) {
+    const auto node = m_waitingTickets.extract(message.ticket);
+    auto *request = node.empty() ? nullptr : m_fleet.request(node.mapped().request);
+    const auto isStillNeeded =
+        request != nullptr && (!node.mapped().isHedge || m_attemptsByRequest.contains(request->key));
+    if (!isStillNeeded) {
         m_network.send(at, m_domains[domain].host, settle_message{ message.pool, message.ticket, 0 });
         return;
     }
-    const auto place = m_fleet.place(*asked, engineNumberOf(message.server));
-    auto &held = m_held[place];
-    held.id = message.ticket;
-    held.domain = domain;
-    held.request = asked->key;
-    held.hedge = waiting.mapped().hedge;
-    held.costBefore = m_fleet.costOf(*asked);
-    held.charged = message.charged;
-    m_placeByTicket[message.ticket] = place;
-    m_placesByRequest.emplace(asked->key, place);
+    const auto attemptKey = m_fleet.startAttempt(*request, engineNumberOf(message.server));
+    auto &attempt = m_grantedAttempts[attemptKey];
+    attempt.id = message.ticket;
+    attempt.domain = domain;
+    attempt.request = request->key;
+    attempt.isHedge = node.mapped().isHedge;
+    attempt.costBefore = m_fleet.costOf(*request);
+    attempt.chargedCost = message.charged;
+    m_attemptByTicket[message.ticket] = attemptKey;
+    m_attemptsByRequest.emplace(request->key, attemptKey);
     auto &results = m_fleet.results();
     ++results.grants;
-    results.remoteGrants += message.pool != m_domains[waiting.mapped().domain].pool ? 1 : 0;
-    results.hedges += held.hedge ? 1 : 0;
-    if (!held.hedge && m_fleet.classOf(*asked).hedged && !asked->promptCharged) {
-        armHedge(asked->key, place);
+    results.remoteGrants += message.pool != m_domains[node.mapped().domain].pool ? 1 : 0;
+    results.hedges += attempt.isHedge ? 1 : 0;
+    if (!attempt.isHedge && m_fleet.classOf(*request).hedged && !request->isPromptCharged) {
+        armHedge(request->key, attemptKey);
     }
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::armHedge(request_key request, place_key place) -> void
+auto dispatched_policy<Layout>::armHedge(request_key requestKey, attempt_key attemptKey) -> void
 {
-    const auto delay = m_routers[m_fleet.request(request)->router].hedges->delay();
+    const auto delay = m_routers[m_fleet.request(requestKey)->router].hedges->delay();
     if (!delay) {
         return;
     }
-    m_fleet.queue().after(*delay, [this, request, place] {
-        auto *asked = m_fleet.request(request);
-        const auto *first = m_fleet.find(place);
-        if (asked == nullptr || first == nullptr || first->firstToken || !m_routers[asked->router].hedges->take()) {
+    m_fleet.queue().after(*delay, [this, requestKey, attemptKey] {
+        auto *request = m_fleet.request(requestKey);
+        const auto *firstAttempt = m_fleet.findAttempt(attemptKey);
+        if (request == nullptr || firstAttempt == nullptr || firstAttempt->hasFirstToken
+            || !m_routers[request->router].hedges->take()) {
             return;
         }
-        submitTicket(*asked, true, { engineId(first->engine) });
+        submitTicket(*request, true, { engineId(firstAttempt->engine) });
     });
 }
 
 template<dispatch_layout Layout>
 auto dispatched_policy<Layout>::handle(std::uint32_t, const refusal &message) -> void
 {
-    const auto waiting = m_waiting.extract(message.ticket);
-    auto *asked = waiting.empty() ? nullptr : m_fleet.request(waiting.mapped().request);
-    if (asked == nullptr) {
+    const auto node = m_waitingTickets.extract(message.ticket);
+    auto *request = node.empty() ? nullptr : m_fleet.request(node.mapped().request);
+    if (request == nullptr) {
         return;
     }
-    if (waiting.mapped().hedge) {
-        m_routers[asked->router].hedges->giveBack();
+    if (node.mapped().isHedge) {
+        m_routers[request->router].hedges->giveBack();
         return;
     }
-    m_counted.erase(asked->key);
-    m_refused(*asked);
+    m_countedCost.erase(request->key);
+    m_refusalListener(*request);
 }
 
 template<dispatch_layout Layout>
 auto dispatched_policy<Layout>::handle(std::uint32_t, const suspension &message) -> void
 {
-    const auto found = m_placeByTicket.find(message.ticket);
-    if (found == m_placeByTicket.end()) {
+    const auto found = m_attemptByTicket.find(message.ticket);
+    if (found == m_attemptByTicket.end()) {
         return;
     }
-    const auto place = found->second;
-    const auto &held = m_held.at(place);
-    const auto *running = m_fleet.find(place);
-    const auto router = m_fleet.request(held.request)->router;
-    if (running != nullptr) {
+    const auto attemptKey = found->second;
+    const auto &attempt = m_grantedAttempts.at(attemptKey);
+    const auto *engineAttempt = m_fleet.findAttempt(attemptKey);
+    const auto router = m_fleet.request(attempt.request)->router;
+    if (engineAttempt != nullptr) {
         const auto delay =
-            m_fleet.latency(m_fleet.dataCentreOfRouter(router), m_fleet.dataCentreOfEngine(running->engine));
-        m_fleet.queue().after(delay, [this, place] { suspend(place); });
+            m_fleet.latency(m_fleet.dataCentreOfRouter(router), m_fleet.dataCentreOfEngine(engineAttempt->engine));
+        m_fleet.queue().after(delay, [this, attemptKey] { suspendAttempt(attemptKey); });
     }
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::suspend(place_key place) -> void
+auto dispatched_policy<Layout>::suspendAttempt(attempt_key attemptKey) -> void
 {
-    const auto *running = m_fleet.find(place);
-    if (running == nullptr || !m_held.contains(place)) {
+    const auto *engineAttempt = m_fleet.findAttempt(attemptKey);
+    if (engineAttempt == nullptr || !m_grantedAttempts.contains(attemptKey)) {
         return;
     }
-    const auto engine = running->engine;
-    auto &asked = *m_fleet.request(running->request);
+    const auto engine = engineAttempt->engine;
+    auto &request = *m_fleet.request(engineAttempt->request);
     ++m_fleet.results().suspensions;
-    m_fleet.removePlace(place, true);
-    ++asked.suspensions;
-    const auto delay = m_fleet.latency(m_fleet.dataCentreOfEngine(engine), m_fleet.dataCentreOfRouter(asked.router));
-    m_fleet.queue().after(delay, [this, place, key = asked.key] {
-        auto *again = m_fleet.request(key);
-        if (again == nullptr) {
+    m_fleet.cancelAttempt(attemptKey, true);
+    ++request.suspensions;
+    const auto delay = m_fleet.latency(m_fleet.dataCentreOfEngine(engine), m_fleet.dataCentreOfRouter(request.router));
+    m_fleet.queue().after(delay, [this, attemptKey, requestKey = request.key] {
+        auto *request = m_fleet.request(requestKey);
+        if (request == nullptr) {
             return;
         }
-        countUse(*again);
-        drop(place);
-        submitTicket(*again, false, {});
+        countServiceUsed(*request);
+        settleAttempt(attemptKey);
+        submitTicket(*request, false, {});
     });
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::drop(place_key place) -> void
+auto dispatched_policy<Layout>::settleAttempt(attempt_key attemptKey) -> void
 {
-    const auto node = m_held.extract(place);
+    const auto node = m_grantedAttempts.extract(attemptKey);
     if (node.empty()) {
         return;
     }
-    const auto &held = node.mapped();
-    m_placeByTicket.erase(held.id);
-    const auto [first, last] = m_placesByRequest.equal_range(held.request);
-    const auto row = std::find_if(first, last, [place](const auto &entry) { return entry.second == place; });
-    m_placesByRequest.erase(row);
-    const auto router = routerOf(held.id.router);
-    const auto *asked = m_fleet.request(held.request);
-    const auto cost = held.hedge || asked == nullptr ? 0 : m_fleet.costOf(*asked) - held.costBefore;
-    m_network.send(router, m_domains[held.domain].host, settle_message{ m_domains[held.domain].pool, held.id, cost });
+    const auto &attempt = node.mapped();
+    m_attemptByTicket.erase(attempt.id);
+    const auto [first, last] = m_attemptsByRequest.equal_range(attempt.request);
+    const auto found =
+        std::find_if(first, last, [attemptKey](const auto &entry) { return entry.second == attemptKey; });
+    m_attemptsByRequest.erase(found);
+    const auto router = routerOf(attempt.id.router);
+    const auto *request = m_fleet.request(attempt.request);
+    const auto cost = attempt.isHedge || request == nullptr ? 0 : m_fleet.costOf(*request) - attempt.costBefore;
+    m_network.send(router, m_domains[attempt.domain].host,
+                   settle_message{ m_domains[attempt.domain].pool, attempt.id, cost });
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::onFirstToken(live_request &asked, place_key place) -> void
+auto dispatched_policy<Layout>::onFirstToken(live_request &request, attempt_key attemptKey) -> void
 {
-    const auto found = m_held.find(place);
-    const auto *running = m_fleet.find(place);
-    if (found == m_held.end() || running == nullptr) {
+    const auto found = m_grantedAttempts.find(attemptKey);
+    const auto *engineAttempt = m_fleet.findAttempt(attemptKey);
+    if (found == m_grantedAttempts.end() || engineAttempt == nullptr) {
         return;
     }
-    auto &held = found->second;
+    auto &attempt = found->second;
     const auto now = m_fleet.queue().now();
-    const auto seconds = toSeconds(now - running->placed);
-    held.sampledAt = now;
-    held.sampledTokens = 1;
-    if (m_fleet.classOf(asked).hedged && !held.hedge) {
-        m_routers[asked.router].hedges->observe(seconds);
-    }
-    const auto sample = pace_sample{ engineId(running->engine), seconds, 0, false };
-    m_network.send(asked.router, m_domains[held.domain].host, sample_message{ m_domains[held.domain].pool, sample });
-    auto others = std::vector<place_key>();
-    const auto [first, last] = m_placesByRequest.equal_range(asked.key);
-    for (auto row = first; row != last; ++row) {
-        if (row->second != place) {
-            others.push_back(row->second);
+    const auto seconds = toSeconds(now - engineAttempt->sentAt);
+    attempt.sampledAt = now;
+    attempt.sampledTokens = 1;
+    if (m_fleet.classOf(request).hedged && !attempt.isHedge) {
+        m_routers[request.router].hedges->observe(seconds);
+    }
+    const auto sample = pace_sample{ engineId(engineAttempt->engine), seconds, 0, false };
+    m_network.send(request.router, m_domains[attempt.domain].host,
+                   sample_message{ m_domains[attempt.domain].pool, sample });
+    auto otherKeys = std::vector<attempt_key>();
+    const auto [first, last] = m_attemptsByRequest.equal_range(request.key);
+    for (auto entry = first; entry != last; ++entry) {
+        if (entry->second != attemptKey) {
+            otherKeys.push_back(entry->second);
         }
     }
-    held.hedge = false; // The winner accounts for the request.
-    for (const auto other : others) {
-        m_held.at(other).hedge = true;
-        m_fleet.removePlace(other, false);
-        drop(other);
+    attempt.isHedge = false; // The first attempt to return a token carries the cost of the request.
+    for (const auto otherKey : otherKeys) {
+        m_grantedAttempts.at(otherKey).isHedge = true;
+        m_fleet.cancelAttempt(otherKey, false);
+        settleAttempt(otherKey);
     }
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::onFinished(live_request &done, place_key) -> void
+auto dispatched_policy<Layout>::onFinished(live_request &request, attempt_key) -> void
 {
-    countUse(done);
-    m_counted.erase(done.key);
-    m_routers[done.router].costs.observe(accountId(done.account), profileId(done.drawn.kind), done.drawn.hint,
-                                         std::max(1.0, m_fleet.costOf(done)));
-    auto places = std::vector<place_key>();
-    const auto [first, last] = m_placesByRequest.equal_range(done.key);
-    for (auto row = first; row != last; ++row) {
-        places.push_back(row->second);
+    countServiceUsed(request);
+    m_countedCost.erase(request.key);
+    m_routers[request.router].costs.observe(accountId(request.account), profileId(request.drawn.classIndex),
+                                            request.drawn.outputHint, std::max(1.0, m_fleet.costOf(request)));
+    auto attemptKeys = std::vector<attempt_key>();
+    const auto [first, last] = m_attemptsByRequest.equal_range(request.key);
+    for (auto entry = first; entry != last; ++entry) {
+        attemptKeys.push_back(entry->second);
     }
-    for (const auto place : places) {
-        drop(place);
+    for (const auto attemptKey : attemptKeys) {
+        settleAttempt(attemptKey);
     }
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::countUse(live_request &asked) -> void
+auto dispatched_policy<Layout>::countServiceUsed(live_request &request) -> void
 {
-    auto &counted = m_counted[asked.key];
-    const auto cost = m_fleet.costOf(asked);
+    auto &counted = m_countedCost[request.key];
+    const auto cost = m_fleet.costOf(request);
     if (cost > counted) {
-        m_routers[asked.router].ledger.count(incarnationOf(asked.router), accountId(asked.account), cost - counted);
+        m_routers[request.router].ledger.count(incarnationOf(request.router), accountId(request.account),
+                                               cost - counted);
         counted = cost;
     }
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::samplePace(place_key place, held_place &held) -> void
+auto dispatched_policy<Layout>::samplePace(attempt_key attemptKey, granted_attempt &attempt) -> void
 {
-    const auto *running = m_fleet.find(place);
+    const auto *engineAttempt = m_fleet.findAttempt(attemptKey);
     const auto now = m_fleet.queue().now();
-    const auto tokens = m_fleet.engine(running->engine).generated(place);
-    const auto since = toSeconds(now - held.sampledAt);
-    const auto grown = tokens - held.sampledTokens;
-    if (grown < m_settings.tokensPerSample || since <= 0) {
+    const auto tokens = m_fleet.engine(engineAttempt->engine).generatedTokens(attemptKey);
+    const auto seconds = toSeconds(now - attempt.sampledAt);
+    const auto newTokens = tokens - attempt.sampledTokens;
+    if (newTokens < m_settings.tokensPerSample || seconds <= 0) {
         return;
     }
-    held.sampledTokens = tokens;
-    held.sampledAt = now;
-    const auto sample = pace_sample{ engineId(running->engine), 0, since / grown, false };
-    const auto &domain = m_domains[held.domain];
-    m_network.send(routerOf(held.id.router), domain.host, sample_message{ domain.pool, sample });
+    attempt.sampledTokens = tokens;
+    attempt.sampledAt = now;
+    const auto sample = pace_sample{ engineId(engineAttempt->engine), 0, seconds / newTokens, false };
+    const auto &domain = m_domains[attempt.domain];
+    m_network.send(routerOf(attempt.id.router), domain.host, sample_message{ domain.pool, sample });
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::reportUse() -> void
+auto dispatched_policy<Layout>::reportUsage() -> void
 {
-    for (auto &[place, held] : m_held) {
-        auto *asked = m_fleet.request(held.request);
-        const auto *running = m_fleet.find(place);
-        if (asked == nullptr || running == nullptr || !running->firstToken || held.hedge) {
+    for (auto &[attemptKey, attempt] : m_grantedAttempts) {
+        auto *request = m_fleet.request(attempt.request);
+        const auto *engineAttempt = m_fleet.findAttempt(attemptKey);
+        if (request == nullptr || engineAttempt == nullptr || !engineAttempt->hasFirstToken || attempt.isHedge) {
             continue;
         }
-        samplePace(place, held);
-        const auto cost = m_fleet.costOf(*asked) - held.costBefore;
-        if (cost - held.reportedCost < m_settings.reportedShare * held.charged) {
+        samplePace(attemptKey, attempt);
+        const auto cost = m_fleet.costOf(*request) - attempt.costBefore;
+        if (cost - attempt.reportedCost < m_settings.minReportedGrowth * attempt.chargedCost) {
             continue;
         }
-        held.reportedCost = cost;
-        countUse(*asked);
-        const auto &domain = m_domains[held.domain];
-        m_network.send(asked->router, domain.host, progress_message{ domain.pool, held.id, cost });
+        attempt.reportedCost = cost;
+        countServiceUsed(*request);
+        const auto &domain = m_domains[attempt.domain];
+        m_network.send(request->router, domain.host, progress_message{ domain.pool, attempt.id, cost });
     }
 }
 
@@ -405,7 +415,7 @@
 auto dispatched_policy<Layout>::sendDigests() -> void
 {
     for (auto router = std::uint32_t(0); router < m_routers.size(); ++router) {
-        sendTotals(router);
+        sendServiceTotals(router);
     }
     if constexpr (Layout::EXCHANGES_DIGESTS) {
         for (auto from = std::size_t(0); from < m_domains.size(); ++from) {
@@ -420,17 +430,17 @@
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::sendTotals(std::uint32_t router) -> void
+auto dispatched_policy<Layout>::sendServiceTotals(std::uint32_t router) -> void
 {
     auto hosts = std::set<std::uint32_t>();
     for (const auto &domain : m_domains) {
         hosts.insert(domain.host);
     }
     auto &state = m_routers[router];
-    for (const auto &total : state.ledger.totalsSince(state.totalsSent, state.totalsSent)) {
-        const auto ofOther = total.router >= incarnationOf(0) && total.router != incarnationOf(router);
+    for (const auto &total : state.ledger.totalsSince(state.lastSentTotalsSerial, state.lastSentTotalsSerial)) {
+        const auto isOtherRouterTotal = total.router >= incarnationOf(0) && total.router != incarnationOf(router);
         for (const auto host : hosts) {
-            if (host != router && !ofOther) {
+            if (host != router && !isOtherRouterTotal) {
                 m_network.send(router, host, total);
             }
         }
@@ -443,7 +453,7 @@
     for (auto index = std::size_t(0); index < m_domains.size(); ++index) {
         for (const auto &[number, slots] : m_domains[index].slots) {
             const auto report =
-                load_report{ engineId(number), m_fleet.engine(number).running(), m_settings.loadReportAge };
+                load_report{ engineId(number), m_fleet.engine(number).runningCount(), m_settings.loadReportAge };
             m_fleet.queue().after(m_settings.loadReportAge, [this, index, report] {
                 m_dispatchers[index]->placement().observe(report, m_fleet.queue().now());
             });
@@ -452,7 +462,7 @@
 }
 
 template<dispatch_layout Layout>
-auto dispatched_policy<Layout>::decideHostedBy(std::uint32_t router) -> void
+auto dispatched_policy<Layout>::decideHostedDomains(std::uint32_t router) -> void
 {
     for (auto domain = std::size_t(0); domain < m_domains.size(); ++domain) {
         if (m_domains[domain].host == router) {
@@ -466,14 +476,14 @@
 {
     const auto host = m_domains[domain].host;
     auto decisions = m_dispatchers[domain]->decide(m_fleet.queue().now());
-    for (const auto &given : decisions.grants) {
-        m_network.send(host, routerOf(given.ticket.router), given);
+    for (const auto &granted : decisions.grants) {
+        m_network.send(host, routerOf(granted.ticket.router), granted);
     }
     for (const auto &refused : decisions.refusals) {
         m_network.send(host, routerOf(refused.ticket.router), refused);
     }
-    for (const auto &asked : decisions.suspensions) {
-        m_network.send(host, routerOf(asked.ticket.router), asked);
+    for (const auto &suspended : decisions.suspensions) {
+        m_network.send(host, routerOf(suspended.ticket.router), suspended);
     }
     for (const auto &pull : decisions.pulls) {
         m_network.send(host, m_domains[domainOfPool(pull.to)].host, pull);
--- a/bench/engine_fake.cpp
+++ b/bench/engine_fake.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr auto tolerance = 1e-6; // Tokens.
+constexpr auto toleranceTokens = 1e-6;
 
 template<typename Targets>
 auto eraseTarget(Targets &targets, double target, std::uint64_t key) -> void
 {
     const auto [first, last] = targets.equal_range(target);
-    const auto found = std::find_if(first, last, [key](const auto &row) { return row.second == key; });
+    const auto found = std::find_if(first, last, [key](const auto &entry) { return entry.second == key; });
     if (found != last) {
         targets.erase(found);
     }
@@ -24,16 +24,16 @@
     : m_queue(queue)
     , m_settings(settings)
     , m_listener(std::move(listener))
-    , m_advanced(queue.now())
+    , m_advancedAt(queue.now())
 {
 }
 
-auto engine_fake::admit(const engine_work &work) -> void
+auto engine_fake::admit(const engine_request &request) -> void
 {
     advance();
-    m_waiting.push_back(work);
+    m_waiting.push_back(request);
     startWaiting();
-    plan();
+    scheduleNextEvent();
 }
 
 auto engine_fake::startWaiting() -> void
@@ -41,31 +41,31 @@
     while (m_running.size() < m_settings.slots && !m_waiting.empty()) {
         const auto next = m_waiting.front();
         m_waiting.pop_front();
-        start(next);
+        startRequest(next);
     }
 }
 
-auto engine_fake::start(const engine_work &work) -> void
+auto engine_fake::startRequest(const engine_request &request) -> void
 {
-    auto &entry = m_running[work.key];
-    entry.work = work;
-    entry.cached = cachedTokens(work);
-    entry.target = m_prefill.reached + std::max(1.0, work.promptTokens - entry.cached);
+    auto &entry = m_running[request.key];
+    entry.request = request;
+    entry.cachedPromptTokens = cachedTokens(request);
+    entry.target = m_prefill.reached + std::max(1.0, request.promptTokens - entry.cachedPromptTokens);
     if (m_settings.callSeconds > 0) {
         entry.target = m_prefill.reached + 1;
     }
-    m_prefill.targets.emplace(entry.target, work.key);
-    m_listener.started(work.key);
+    m_prefill.targets.emplace(entry.target, request.key);
+    m_listener.started(request.key);
 }
 
-auto engine_fake::cachedTokens(const engine_work &work) -> double
+auto engine_fake::cachedTokens(const engine_request &request) -> double
 {
-    const auto whole = work.contextHash != 0 && touch(work.contextHash, 0);
-    const auto prefix = work.prefixHash != 0 && touch(work.prefixHash, work.prefixTokens);
-    return whole ? work.promptTokens : prefix ? work.prefixTokens : 0;
+    const auto isContextCached = request.contextHash != 0 && useCacheEntry(request.contextHash, 0);
+    const auto isPrefixCached = request.prefixHash != 0 && useCacheEntry(request.prefixHash, request.prefixTokens);
+    return isContextCached ? request.promptTokens : isPrefixCached ? request.prefixTokens : 0;
 }
 
-auto engine_fake::touch(std::uint64_t hash, double tokens) -> bool
+auto engine_fake::useCacheEntry(std::uint64_t hash, double tokens) -> bool
 {
     const auto found = m_cacheIndex.find(hash);
     if (found != m_cacheIndex.end()) {
@@ -75,113 +75,113 @@
     if (tokens > 0) {
         m_cache.push_front({ hash, tokens });
         m_cacheIndex[hash] = m_cache.begin();
-        m_cacheHeld += tokens;
+        m_usedCacheTokens += tokens;
     }
-    while (m_cacheHeld > m_settings.cacheTokens) {
-        m_cacheHeld -= m_cache.back().tokens;
+    while (m_usedCacheTokens > m_settings.cacheCapacityTokens) {
+        m_usedCacheTokens -= m_cache.back().tokens;
         m_cacheIndex.erase(m_cache.back().hash);
         m_cache.pop_back();
     }
     return false;
 }
 
-auto engine_fake::prefillPace() const -> double
+auto engine_fake::prefillProgressRate() const -> double
 {
-    const auto sharing = std::max<std::size_t>(1, m_prefill.targets.size());
+    const auto prefillingCount = std::max<std::size_t>(1, m_prefill.targets.size());
     if (m_settings.callSeconds > 0) {
         return 1 / (m_settings.callSeconds * m_slowdown);
     }
-    return m_settings.prefillRate / (static_cast<double>(sharing) * m_slowdown);
+    return m_settings.prefillTokensPerSecond / (static_cast<double>(prefillingCount) * m_slowdown);
 }
 
 auto engine_fake::stepSeconds() const -> double
 {
-    const auto others = std::max(0.0, static_cast<double>(m_running.size()) - 1);
-    const auto reading = m_prefill.targets.empty() ? 1.0 : m_settings.prefillSlowdown;
-    return m_settings.stepSeconds * (1 + m_settings.crowdSlope * others) * reading * m_slowdown;
+    const auto otherRequests = std::max(0.0, static_cast<double>(m_running.size()) - 1);
+    const auto prefillFactor = m_prefill.targets.empty() ? 1.0 : m_settings.prefillStepFactor;
+    return m_settings.stepSeconds * (1 + m_settings.stepGrowthPerRequest * otherRequests) * prefillFactor * m_slowdown;
 }
 
-auto engine_fake::decodePace() const -> double
+auto engine_fake::decodeProgressRate() const -> double
 {
     return 1 / stepSeconds();
 }
 
 auto engine_fake::advance() -> void
 {
-    const auto seconds = toSeconds(m_queue.now() - m_advanced);
-    m_advanced = m_queue.now();
+    const auto seconds = toSeconds(m_queue.now() - m_advancedAt);
+    m_advancedAt = m_queue.now();
     if (!m_prefill.targets.empty()) {
-        m_prefill.reached += seconds * prefillPace();
+        m_prefill.reached += seconds * prefillProgressRate();
     }
     if (!m_decode.targets.empty()) {
-        m_decode.reached += seconds * decodePace();
+        m_decode.reached += seconds * decodeProgressRate();
     }
 }
 
-auto engine_fake::nextEvent() const -> std::optional<double>
+auto engine_fake::secondsToNextEvent() const -> std::optional<double>
 {
     auto next = std::optional<double>();
     if (!m_prefill.targets.empty()) {
-        next = (m_prefill.targets.begin()->first - m_prefill.reached) / prefillPace();
+        next = (m_prefill.targets.begin()->first - m_prefill.reached) / prefillProgressRate();
     }
     if (!m_decode.targets.empty()) {
-        const auto decode = (m_decode.targets.begin()->first - m_decode.reached) / decodePace();
+        const auto decode = (m_decode.targets.begin()->first - m_decode.reached) / decodeProgressRate();
         next = std::min(next.value_or(decode), decode);
     }
     return next;
 }
 
-auto engine_fake::plan() -> void
+auto engine_fake::scheduleNextEvent() -> void
 {
-    if (m_planned) {
-        m_queue.cancel(*m_planned);
-        m_planned.reset();
+    if (m_nextEvent) {
+        m_queue.cancel(*m_nextEvent);
+        m_nextEvent.reset();
     }
-    if (const auto next = nextEvent()) {
+    if (const auto next = secondsToNextEvent()) {
         const auto delay = fromSeconds(std::max(0.0, *next)) + std::chrono::nanoseconds(1);
-        m_planned = m_queue.after(delay, [this] { wake(); });
+        m_nextEvent = m_queue.after(delay, [this] { onTimer(); });
     }
 }
 
-auto engine_fake::wake() -> void
+auto engine_fake::onTimer() -> void
 {
-    m_planned.reset();
+    m_nextEvent.reset();
     advance();
-    while (!m_prefill.targets.empty() && m_prefill.targets.begin()->first <= m_prefill.reached + tolerance) {
+    while (!m_prefill.targets.empty() && m_prefill.targets.begin()->first <= m_prefill.reached + toleranceTokens) {
         beginDecode(m_prefill.targets.begin()->second);
     }
-    while (!m_decode.targets.empty() && m_decode.targets.begin()->first <= m_decode.reached + tolerance) {
+    while (!m_decode.targets.empty() && m_decode.targets.begin()->first <= m_decode.reached + toleranceTokens) {
         finish(m_decode.targets.begin()->second);
     }
     startWaiting();
-    plan();
+    scheduleNextEvent();
 }
 
 auto engine_fake::beginDecode(std::uint64_t key) -> void
 {
     auto &entry = m_running.at(key);
     eraseTarget(m_prefill.targets, entry.target, key);
-    entry.decoding = true;
-    // Reading the prompt yields the first token.
-    entry.target = m_decode.reached + std::max(0.0, entry.work.outputTokens - 1);
+    entry.isDecoding = true;
+    // The prefill yields the first token.
+    entry.target = m_decode.reached + std::max(0.0, entry.request.outputTokens - 1);
     m_decode.targets.emplace(entry.target, key);
-    m_listener.firstToken(key, entry.cached);
+    m_listener.firstToken(key, entry.cachedPromptTokens);
 }
 
 auto engine_fake::finish(std::uint64_t key) -> void
 {
-    leave(key);
+    removeRunning(key);
     m_listener.finished(key);
 }
 
-auto engine_fake::leave(std::uint64_t key) -> running_work
+auto engine_fake::removeRunning(std::uint64_t key) -> running_request
 {
     auto node = m_running.extract(key);
     auto &entry = node.mapped();
-    auto &progress = entry.decoding ? m_decode : m_prefill;
+    auto &progress = entry.isDecoding ? m_decode : m_prefill;
     eraseTarget(progress.targets, entry.target, key);
-    if (entry.decoding && entry.work.contextHash != 0) {
-        touch(entry.work.contextHash, entry.work.promptTokens + entry.work.outputTokens);
+    if (entry.isDecoding && entry.request.contextHash != 0) {
+        useCacheEntry(entry.request.contextHash, entry.request.promptTokens + entry.request.outputTokens);
     }
     return std::move(entry);
 }
@@ -189,46 +189,46 @@
 auto engine_fake::cancel(std::uint64_t key) -> double
 {
     advance();
-    const auto queued =
-        std::find_if(m_waiting.begin(), m_waiting.end(), [key](const auto &work) { return work.key == key; });
-    if (queued != m_waiting.end()) {
-        m_waiting.erase(queued);
+    const auto found =
+        std::find_if(m_waiting.begin(), m_waiting.end(), [key](const auto &request) { return request.key == key; });
+    if (found != m_waiting.end()) {
+        m_waiting.erase(found);
         return 0;
     }
     if (!m_running.contains(key)) {
         return 0;
     }
-    const auto tokens = generated(key);
-    leave(key);
+    const auto tokens = generatedTokens(key);
+    removeRunning(key);
     startWaiting();
-    plan();
+    scheduleNextEvent();
     return tokens;
 }
 
-auto engine_fake::generated(std::uint64_t key) -> double
+auto engine_fake::generatedTokens(std::uint64_t key) -> double
 {
     advance();
     const auto found = m_running.find(key);
-    if (found == m_running.end() || !found->second.decoding) {
+    if (found == m_running.end() || !found->second.isDecoding) {
         return 0;
     }
-    const auto left = std::max(0.0, found->second.target - m_decode.reached);
-    return found->second.work.outputTokens - left;
+    const auto remaining = std::max(0.0, found->second.target - m_decode.reached);
+    return found->second.request.outputTokens - remaining;
 }
 
 auto engine_fake::setSlowdown(double factor) -> void
 {
     advance();
     m_slowdown = factor;
-    plan();
+    scheduleNextEvent();
 }
 
-auto engine_fake::running() const -> std::uint32_t
+auto engine_fake::runningCount() const -> std::uint32_t
 {
     return static_cast<std::uint32_t>(m_running.size());
 }
 
-auto engine_fake::waiting() const -> std::size_t
+auto engine_fake::waitingCount() const -> std::size_t
 {
     return m_waiting.size();
 }
--- a/bench/engine_fake.h
+++ b/bench/engine_fake.h
@@ -12,29 +12,30 @@
 
 namespace marjoramloom::bench {
 
+/// Capacity and speed of an engine.
 struct engine_settings
 {
     std::uint32_t slots = 12;
-    double stepSeconds = 0.02; ///< Between tokens, for one request alone.
-    double crowdSlope = 0.01; ///< The step grows by this part with each further request in the batch.
-    double prefillSlowdown = 1.25; ///< Of the steps while any prompt is read.
-    double prefillRate = 10'000; ///< Prompt tokens a second.
-    double cacheTokens = 80'000; ///< Memory for prompt prefixes.
-    double callSeconds = 0; ///< Plain servers: duration of a call; no tokens are generated.
+    double stepSeconds = 0.02; ///< Time between tokens of a request that runs alone.
+    double stepGrowthPerRequest = 0.01; ///< Fraction by which each further running request lengthens the step.
+    double prefillStepFactor = 1.25; ///< Factor of the step while any prefill runs.
+    double prefillTokensPerSecond = 10'000; ///< Shared by all prefills that run.
+    double cacheCapacityTokens = 80'000; ///< Capacity of the prefix cache.
+    double callSeconds = 0; ///< Not 0: a plain server whose calls take this long, without a model.
 };
 
-/// A request as an engine sees it.
-struct engine_work
+/// A request as an engine receives it.
+struct engine_request
 {
     std::uint64_t key = 0;
-    std::uint64_t contextHash = 0; ///< Of its whole prompt.
-    std::uint64_t prefixHash = 0; ///< Of the part shared with other requests; 0 for none.
+    std::uint64_t contextHash = 0; ///< Of the prompt with all generated tokens; 0 for none.
+    std::uint64_t prefixHash = 0; ///< Of the prompt prefix shared with other requests; 0 for none.
     double prefixTokens = 0;
-    double promptTokens = 0; ///< With the prefix.
+    double promptTokens = 0; ///< Including the prefix.
     double outputTokens = 1;
 };
 
-/// What happened to a request on an engine.
+/// Callbacks for the progress of a request on an engine.
 struct engine_listener
 {
     std::function<void(std::uint64_t key)> started;
@@ -42,47 +43,47 @@
     std::function<void(std::uint64_t key)> finished;
 };
 
-/// A model engine: continuous batching with equal pace for all that run, prompts read at a shared rate, a cache of
-/// prompt prefixes in limited memory, admission as they come. Not thread safe.
+/// Simulates a model engine with continuous batching: all running requests generate tokens at the same rate, prefills
+/// share one rate, prompt prefixes are kept in an LRU cache, and requests start first in, first out. Not thread safe.
 class engine_fake
 {
 public:
     /// Precondition: \p queue outlives the engine.
     engine_fake(event_queue &queue, engine_settings settings, engine_listener listener);
 
-    /// Takes a request; it waits inside while all slots run.
-    auto admit(const engine_work &work) -> void;
+    /// Accepts a request, which waits in the engine while all slots are occupied.
+    auto admit(const engine_request &request) -> void;
 
-    /// Ends a request. Returns the tokens that it generated here.
+    /// Removes a request. Returns the number of tokens that it generated on this engine.
     auto cancel(std::uint64_t key) -> double;
 
-    /// From now on everything takes \p factor as long.
+    /// Multiplies the duration of all work from now on; 1 for normal speed.
     auto setSlowdown(double factor) -> void;
 
-    /// Tokens that a request generated here so far.
-    [[nodiscard]] auto generated(std::uint64_t key) -> double;
+    /// Tokens that a request has generated on this engine so far.
+    [[nodiscard]] auto generatedTokens(std::uint64_t key) -> double;
 
-    /// Present seconds between tokens.
+    /// Seconds between tokens at the current load.
     [[nodiscard]] auto stepSeconds() const -> double;
 
-    [[nodiscard]] auto running() const -> std::uint32_t;
-    [[nodiscard]] auto waiting() const -> std::size_t;
+    [[nodiscard]] auto runningCount() const -> std::uint32_t;
+    [[nodiscard]] auto waitingCount() const -> std::size_t;
     [[nodiscard]] auto settings() const -> const engine_settings &;
 
 private:
-    /// Work shared at an equal pace: each member ends when the common progress reaches its target.
+    /// Progress of requests that advance at the same rate: each is done when the common progress reaches its target.
     struct shared_progress
     {
         double reached = 0;
         std::multimap<double, std::uint64_t> targets;
     };
 
-    struct running_work
+    struct running_request
     {
-        engine_work work;
-        double cached = 0;
-        bool decoding = false;
-        double target = 0; ///< In the progress that it takes part in.
+        engine_request request;
+        double cachedPromptTokens = 0;
+        bool isDecoding = false;
+        double target = 0; ///< In m_prefill or m_decode, in tokens.
     };
 
     struct cached_prefix
@@ -92,32 +93,32 @@
     };
 
     auto startWaiting() -> void;
-    auto start(const engine_work &work) -> void;
+    auto startRequest(const engine_request &request) -> void;
     auto advance() -> void;
-    auto plan() -> void;
-    auto wake() -> void;
+    auto scheduleNextEvent() -> void;
+    auto onTimer() -> void;
     auto beginDecode(std::uint64_t key) -> void;
     auto finish(std::uint64_t key) -> void;
-    auto leave(std::uint64_t key) -> running_work;
-    auto prefillPace() const -> double;
-    auto decodePace() const -> double;
-    auto cachedTokens(const engine_work &work) -> double;
-    auto touch(std::uint64_t hash, double tokens) -> bool;
-    auto nextEvent() const -> std::optional<double>;
+    auto removeRunning(std::uint64_t key) -> running_request;
+    auto prefillProgressRate() const -> double;
+    auto decodeProgressRate() const -> double;
+    auto cachedTokens(const engine_request &request) -> double;
+    auto useCacheEntry(std::uint64_t hash, double tokens) -> bool;
+    auto secondsToNextEvent() const -> std::optional<double>;
 
     event_queue &m_queue;
     engine_settings m_settings;
     engine_listener m_listener;
     double m_slowdown = 1;
-    time_point m_advanced;
+    time_point m_advancedAt;
     shared_progress m_prefill; ///< Prompt tokens.
     shared_progress m_decode; ///< Generated tokens.
-    std::unordered_map<std::uint64_t, running_work> m_running;
-    std::deque<engine_work> m_waiting;
+    std::unordered_map<std::uint64_t, running_request> m_running;
+    std::deque<engine_request> m_waiting;
     std::list<cached_prefix> m_cache; ///< Most recently used first.
     std::unordered_map<std::uint64_t, std::list<cached_prefix>::iterator> m_cacheIndex;
-    double m_cacheHeld = 0;
-    std::optional<event_queue::event_key> m_planned;
+    double m_usedCacheTokens = 0;
+    std::optional<event_queue::event_key> m_nextEvent;
 };
 
 } // namespace marjoramloom::bench
--- a/bench/event_queue.h
+++ b/bench/event_queue.h
@@ -9,7 +9,7 @@
 
 namespace marjoramloom::bench {
 
-/// Events in order of time on a manual clock; events of one moment run in the order in which they were added. Not
+/// Discrete event queue on a manual clock. Events of the same time run in the order in which they were added. Not
 /// thread safe.
 class event_queue
 {
@@ -21,7 +21,7 @@
         return m_clock.now();
     }
 
-    /// Runs \p action at \p when, or now where that is past.
+    /// Schedules \p action at \p when, or at the current time where that is past. Returns the key for cancel().
     auto at(time_point when, std::function<void()> action) -> event_key
     {
         const auto key = event_key(std::max(when, now()), ++m_serial);
@@ -39,7 +39,7 @@
         m_events.erase(key);
     }
 
-    /// Runs all events up to \p end and moves the clock there.
+    /// Runs all events up to and including \p end and advances the clock to it.
     auto runUntil(time_point end) -> void
     {
         while (!m_events.empty() && m_events.begin()->first.first <= end) {
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -13,62 +13,64 @@
 
 using request_key = std::uint64_t;
 
-/// A request on its way through the fleet. Its router knows it; engines and dispatchers see parts of it.
+/// State of a request from its arrival at a router until it has finished or was refused.
 struct live_request
 {
     request_key key = 0;
     std::size_t account = 0;
     std::uint32_t router = 0;
     drawn_request drawn;
-    std::size_t outcome = 0; ///< Its place in the results.
+    std::size_t outcomeIndex = 0; ///< Index in run_results::requests.
     time_point arrived;
-    time_point waitsSince;
-    double generated = 0; ///< Tokens of earlier places.
-    double charged = 0; ///< Prompt tokens, weighted; charged once.
-    bool promptCharged = false;
-    bool complete = false; ///< Some engine generated the whole answer.
+    time_point waitingSince;
+    double generatedTokens = 0; ///< By earlier, suspended attempts.
+    double chargedPromptCost = 0; ///< Weighted prompt tokens; only the first prefill is charged.
+    bool isPromptCharged = false;
+    bool isComplete = false; ///< Some engine has generated the complete answer.
     std::uint32_t suspensions = 0;
 };
 
-/// One place of a request on an engine: its only one, or one of a hedged pair.
-struct engine_place
+/// One execution of a request on an engine. A hedged request can have two at a time.
+struct engine_attempt
 {
     request_key request = 0;
     std::size_t engine = 0;
-    bool started = false;
-    bool firstToken = false;
+    bool isStarted = false;
+    bool hasFirstToken = false;
     double promptTokens = 0;
-    time_point placed;
+    time_point sentAt;
 };
 
-using place_key = std::uint64_t;
+using attempt_key = std::uint64_t;
 
-/// What the fleet tells its policy about places; by then the news has reached the request's router.
-struct place_listener
+/// Callbacks for the progress of attempts. They run when the engine's message has reached the request's router.
+struct attempt_listener
 {
-    std::function<void(request_key, place_key)> firstToken;
-    std::function<void(request_key, place_key)> finished;
+    std::function<void(request_key, attempt_key)> firstToken;
+    std::function<void(request_key, attempt_key)> finished;
 };
 
-/// Engines, requests and what is measured of them, for any policy of choosing engines. Not thread safe.
+/// Simulates the engines and the network, and records measurements. Independent of the policy that chooses engines.
+/// Not thread safe.
 class fleet
 {
 public:
-    explicit fleet(const deployment &where);
+    /// Precondition: \p deployment outlives the fleet.
+    explicit fleet(const deployment_settings &deployment);
 
     [[nodiscard]] auto queue() -> event_queue &
     {
         return m_queue;
     }
 
-    [[nodiscard]] auto where() const -> const deployment &
+    [[nodiscard]] auto deployment() const -> const deployment_settings &
     {
-        return m_where;
+        return m_deployment;
     }
 
-    auto setListener(place_listener listener) -> void;
+    auto setListener(attempt_listener listener) -> void;
 
-    /// Engines of the model first, then plain servers.
+    /// Engines are numbered across services: those of the model first, then the order servers.
     [[nodiscard]] auto engineCount(service_index service) const -> std::size_t;
     [[nodiscard]] auto engineNumber(service_index service, std::size_t index) const -> std::size_t;
     [[nodiscard]] auto engine(std::size_t number) -> engine_fake &;
@@ -77,57 +79,61 @@
     [[nodiscard]] auto dataCentreOfRouter(std::uint32_t router) const -> std::uint32_t;
     [[nodiscard]] auto routerCount() const -> std::uint32_t;
 
-    /// One way between two data centres, with the local network's part.
+    /// One-way latency between two data centres, including the local network.
     [[nodiscard]] auto latency(std::uint32_t from, std::uint32_t to) const -> duration;
 
-    /// A new request at its router; it counts as waiting from now on.
+    /// Adds a request that arrives at its router now and waits from now on.
     auto makeRequest(std::size_t account, std::uint32_t router, const drawn_request &drawn) -> live_request &;
     [[nodiscard]] auto request(request_key key) -> live_request *;
-    [[nodiscard]] auto classOf(const live_request &asked) const -> const request_class &;
+    [[nodiscard]] auto classOf(const live_request &request) const -> const request_class &;
 
-    /// Sends a request to an engine.
-    auto place(live_request &placed, std::size_t engine) -> place_key;
-    [[nodiscard]] auto find(place_key key) -> engine_place *;
+    /// Sends a request to an engine, which receives it after the network latency.
+    auto startAttempt(live_request &request, std::size_t engine) -> attempt_key;
+    [[nodiscard]] auto findAttempt(attempt_key key) -> engine_attempt *;
 
-    /// Takes a request off an engine; what it generated there counts. It waits again where \p waitsAgain.
-    auto removePlace(place_key key, bool waitsAgain) -> void;
+    /// Cancels an attempt. Where \p isRequeued, the tokens it generated are kept and the request waits again.
+    auto cancelAttempt(attempt_key key, bool isRequeued) -> void;
 
-    /// Weighted tokens that the request used so far, at all its places.
-    [[nodiscard]] auto costOf(const live_request &asked) -> double;
+    /// Weighted tokens that the request has used so far. Of concurrent attempts, the one that generated most counts.
+    [[nodiscard]] auto costOf(const live_request &request) -> double;
 
-    /// The request got its whole answer, or was refused.
-    auto finish(live_request &done, bool refused) -> void;
+    /// Records the outcome, cancels remaining attempts and removes the request.
+    auto finish(live_request &request, bool refused) -> void;
 
-    /// Places that run now.
-    [[nodiscard]] auto runningPlaces() const -> const std::map<place_key, engine_place> &;
+    /// Attempts that have neither finished nor been cancelled.
+    [[nodiscard]] auto activeAttempts() const -> const std::map<attempt_key, engine_attempt> &;
 
+    /// Records the load now, and the service received by each account at every 50th call.
     auto recordSamples() -> void;
+
+    /// Ends the warm-up: clears the counters and starts the measured time.
     auto startMeasuring() -> void;
     [[nodiscard]] auto results() -> run_results &;
-    [[nodiscard]] auto secondsSinceStart() const -> double;
+    /// -1 during the warm-up.
+    [[nodiscard]] auto secondsSinceWarmUp() const -> double;
 
 private:
     auto addEngines(service_index service, std::size_t count, const engine_settings &settings) -> void;
-    auto onStarted(place_key key) -> void;
-    auto onFirstToken(place_key key, double cachedTokens) -> void;
-    auto onFinished(place_key key) -> void;
-    auto noteTokens(const live_request &of, double tokens) -> void;
-    auto noteWaiting(live_request &waiting) -> void;
+    auto onStarted(attempt_key key) -> void;
+    auto onFirstToken(attempt_key key, double cachedTokens) -> void;
+    auto onFinished(attempt_key key) -> void;
+    auto countGeneratedTokens(const live_request &request, double tokens) -> void;
+    auto markWaiting(live_request &request) -> void;
 
-    const deployment &m_where;
+    const deployment_settings &m_deployment;
     event_queue m_queue;
     std::vector<std::unique_ptr<engine_fake>> m_engines;
     std::map<request_key, live_request> m_requests;
-    std::map<place_key, engine_place> m_places;
-    std::multimap<request_key, place_key> m_placesOf;
-    std::set<std::pair<time_point, request_key>> m_waiting; ///< For an engine of the model.
-    std::vector<double> m_settled; ///< Weighted tokens of requests that are gone, by account.
-    place_listener m_listener;
+    std::map<attempt_key, engine_attempt> m_attempts;
+    std::multimap<request_key, attempt_key> m_attemptsByRequest;
+    std::set<std::pair<time_point, request_key>> m_waiting; ///< Requests for the model that no engine runs.
+    std::vector<double> m_finishedService; ///< Weighted tokens of removed requests, by account.
+    attempt_listener m_listener;
     run_results m_results;
     request_key m_lastRequest = 0;
-    place_key m_lastPlace = 0;
-    bool m_measuring = false;
-    time_point m_measuredSince;
+    attempt_key m_lastAttempt = 0;
+    bool m_isMeasuring = false;
+    time_point m_measuringSince;
 };
 
 } // namespace marjoramloom::bench
--- a/bench/layout.cpp
+++ b/bench/layout.cpp
@@ -32,14 +32,14 @@
     return id.value - firstEngineId;
 }
 
-auto profileId(std::size_t kind) -> object_id
+auto profileId(std::size_t classIndex) -> object_id
 {
-    return { firstProfileId + kind };
+    return { firstProfileId + classIndex };
 }
 
 auto incarnationOf(std::uint32_t router) -> incarnation_id
 {
-    constexpr auto startedAt = incarnation_id(1) << 60U; // As high as real ones, which hold the time of the start.
+    constexpr auto startedAt = incarnation_id(1) << 60U; // As large as real ones, which contain the start time.
     return startedAt + router;
 }
 
@@ -48,59 +48,63 @@
     return static_cast<std::uint32_t>(incarnation - incarnationOf(0));
 }
 
-auto pool_layout::domains(const fleet &where) -> std::vector<dispatch_domain>
+auto pool_layout::domains(const fleet &simulatedFleet) -> std::vector<dispatch_domain>
 {
-    auto made = std::vector<dispatch_domain>();
+    auto created = std::vector<dispatch_domain>();
     for (const auto service : services) {
-        for (auto centre = std::uint32_t(0); centre < where.where().dataCentres; ++centre) {
+        for (auto dataCentre = std::uint32_t(0); dataCentre < simulatedFleet.deployment().dataCentres; ++dataCentre) {
             auto domain = dispatch_domain();
-            domain.pool = { "dc" + std::to_string(centre), serviceId(service) };
-            domain.host = centre * where.where().routersPerDataCentre + static_cast<std::uint32_t>(service);
+            domain.pool = { "dc" + std::to_string(dataCentre), serviceId(service) };
+            domain.host =
+                dataCentre * simulatedFleet.deployment().routersPerDataCentre + static_cast<std::uint32_t>(service);
             domain.service = service;
-            for (auto index = std::size_t(0); index < where.engineCount(service); ++index) {
-                const auto number = where.engineNumber(service, index);
-                if (where.dataCentreOfEngine(number) == centre) {
-                    domain.slots[number] = where.engine(number).settings().slots;
+            for (auto index = std::size_t(0); index < simulatedFleet.engineCount(service); ++index) {
+                const auto number = simulatedFleet.engineNumber(service, index);
+                if (simulatedFleet.dataCentreOfEngine(number) == dataCentre) {
+                    domain.slots[number] = simulatedFleet.engine(number).settings().slots;
                 }
             }
-            made.push_back(std::move(domain));
+            created.push_back(std::move(domain));
         }
     }
-    return made;
+    return created;
 }
 
-auto pool_layout::domainOf(const fleet &where, std::uint32_t router, service_index service) -> std::size_t
+auto pool_layout::domainOf(const fleet &simulatedFleet, std::uint32_t router, service_index service) -> std::size_t
 {
-    return static_cast<std::size_t>(service) * where.where().dataCentres + where.dataCentreOfRouter(router);
+    return static_cast<std::size_t>(service) * simulatedFleet.deployment().dataCentres
+        + simulatedFleet.dataCentreOfRouter(router);
 }
 
-auto router_layout::domains(const fleet &where) -> std::vector<dispatch_domain>
+auto router_layout::domains(const fleet &simulatedFleet) -> std::vector<dispatch_domain>
 {
-    auto made = std::vector<dispatch_domain>();
+    auto created = std::vector<dispatch_domain>();
     for (const auto service : services) {
-        for (auto router = std::uint32_t(0); router < where.routerCount(); ++router) {
+        for (auto router = std::uint32_t(0); router < simulatedFleet.routerCount(); ++router) {
             auto domain = dispatch_domain();
             domain.pool = { "router" + std::to_string(router), serviceId(service) };
             domain.host = router;
             domain.service = service;
-            for (auto index = std::size_t(0); index < where.engineCount(service); ++index) {
-                const auto number = where.engineNumber(service, index);
-                const auto all = where.engine(number).settings().slots;
-                const auto place = (router + static_cast<std::uint32_t>(index)) % where.routerCount();
-                const auto own = all / where.routerCount() + (place < all % where.routerCount() ? 1 : 0);
-                if (own > 0) {
-                    domain.slots[number] = own;
+            for (auto index = std::size_t(0); index < simulatedFleet.engineCount(service); ++index) {
+                const auto number = simulatedFleet.engineNumber(service, index);
+                const auto engineSlots = simulatedFleet.engine(number).settings().slots;
+                const auto remainderOffset =
+                    (router + static_cast<std::uint32_t>(index)) % simulatedFleet.routerCount();
+                const auto routerSlots = engineSlots / simulatedFleet.routerCount()
+                    + (remainderOffset < engineSlots % simulatedFleet.routerCount() ? 1 : 0);
+                if (routerSlots > 0) {
+                    domain.slots[number] = routerSlots;
                 }
             }
-            made.push_back(std::move(domain));
+            created.push_back(std::move(domain));
         }
     }
-    return made;
+    return created;
 }
 
-auto router_layout::domainOf(const fleet &where, std::uint32_t router, service_index service) -> std::size_t
+auto router_layout::domainOf(const fleet &simulatedFleet, std::uint32_t router, service_index service) -> std::size_t
 {
-    return static_cast<std::size_t>(service) * where.routerCount() + router;
+    return static_cast<std::size_t>(service) * simulatedFleet.routerCount() + router;
 }
 
 } // namespace marjoramloom::bench
--- a/bench/report.h
+++ b/bench/report.h
@@ -7,7 +7,7 @@
 
 namespace marjoramloom::bench {
 
-/// One system under test on one deployment.
+/// Runs and measures of one system on one deployment.
 struct system_result
 {
     std::string name;
@@ -15,32 +15,32 @@
     measure_set measures;
 };
 
-/// A measure of the system against its target.
-struct verdict
+/// Compares a measure with its target.
+struct target_check
 {
     measure_group group = measure_group::fairness;
     std::string measure;
     double value = 0;
     double target = 0;
     std::string unit;
-    bool met = false;
+    bool isMet = false;
 };
 
-/// All systems on one deployment; the routers' own system comes first.
+/// Results of all systems on one deployment. The first system is the one compared with the targets.
 struct deployment_result
 {
-    deployment where;
+    deployment_settings deployment;
     std::vector<system_result> systems;
-    std::vector<verdict> verdicts;
+    std::vector<target_check> targetChecks;
 };
 
-/// Compares the first system with the targets, of which some depend on the baseline \p leastOutstanding.
-auto judge(const measure_set &system, const measure_set &leastOutstanding) -> std::vector<verdict>;
+/// Compares the measures of \p system with the targets. Some targets depend on the baseline \p leastOutstanding.
+auto checkTargets(const measure_set &system, const measure_set &leastOutstanding) -> std::vector<target_check>;
 
-/// The table of measures of all systems and the verdicts, as text.
+/// Formats the measures of all systems and the target checks as a text table.
 auto tableText(const deployment_result &result) -> std::string;
 
-/// Writes decision.json and the series of the plots into \p folder.
+/// Writes decision.json and the data series of the plots into \p folder.
 auto writeFiles(const std::vector<deployment_result> &results, const std::string &folder) -> void;
 
 } // namespace marjoramloom::bench
--- a/bench/scenario.cpp
+++ b/bench/scenario.cpp
@@ -11,85 +11,86 @@
     return rule;
 }
 
-auto modelLoad(double load, double swing) -> arrival_rule
+auto modelLoad(double load, double crestFactor) -> arrival_rule
 {
     auto rule = arrival_rule();
     rule.load = load;
-    rule.swing = swing;
+    rule.crestFactor = crestFactor;
     return rule;
 }
 
 auto shortLoad() -> arrival_rule
 {
     auto rule = modelLoad(0.22, 5);
-    rule.byLength = true;
+    rule.filtersByLength = true;
     return rule;
 }
 
 } // namespace
 
-auto backloggedScenario(double seconds) -> scenario
+auto backloggedScenario(double seconds) -> scenario_settings
 {
-    auto made = scenario();
-    made.name = "backlogged";
-    made.seconds = seconds;
-    made.backlogged = true;
-    made.arrivals = { plainCalls(5) };
-    return made;
+    auto scenario = scenario_settings();
+    scenario.name = "backlogged";
+    scenario.seconds = seconds;
+    scenario.backlogged = true;
+    scenario.arrivals = { plainCalls(5) };
+    return scenario;
 }
 
-auto unevenScenario(double seconds) -> scenario
+auto unevenScenario(double seconds) -> scenario_settings
 {
-    auto made = scenario();
-    made.name = "uneven";
-    made.group = measure_group::uneven;
-    made.seconds = seconds;
-    made.arrivals = { modelLoad(0.4, 5), plainCalls(5) };
-    made.firstDataCentreShare = 0.9;
-    return made;
+    auto scenario = scenario_settings();
+    scenario.name = "uneven";
+    scenario.group = measure_group::uneven;
+    scenario.seconds = seconds;
+    scenario.arrivals = { modelLoad(0.4, 5), plainCalls(5) };
+    scenario.firstDataCentreShare = 0.9;
+    return scenario;
 }
 
-auto crestScenario(double seconds) -> scenario
+auto crestScenario(double seconds) -> scenario_settings
 {
-    auto made = scenario();
-    made.name = "crest";
-    made.group = measure_group::crest;
-    made.seconds = seconds;
+    auto scenario = scenario_settings();
+    scenario.name = "crest";
+    scenario.group = measure_group::crest;
+    scenario.seconds = seconds;
     auto rule = modelLoad(0.4, 5);
-    rule.swingLargeOnly = true;
-    made.arrivals = { rule, plainCalls(5) };
-    return made;
+    rule.onlyLargeAccountsCrest = true;
+    scenario.arrivals = { rule, plainCalls(5) };
+    return scenario;
 }
 
-auto shortAndLongScenario(double seconds) -> scenario
+auto shortAndLongScenario(double seconds) -> scenario_settings
 {
-    auto made = scenario();
-    made.name = "short_and_long";
-    made.group = measure_group::shortBehindLong;
-    made.seconds = seconds;
-    made.longBacklog = 2;
-    made.warmUpSeconds = 60; // Until the long work that waits in engines of the baselines has moved up once.
-    made.arrivals = { shortLoad(), plainCalls(5) };
-    return made;
+    auto scenario = scenario_settings();
+    scenario.name = "short_and_long";
+    scenario.group = measure_group::shortBehindLong;
+    scenario.seconds = seconds;
+    scenario.longBacklog = 2;
+    scenario.warmUpSeconds =
+        60; // Long work first has to pass once through the queues inside the engines of the baselines.
+    scenario.arrivals = { shortLoad(), plainCalls(5) };
+    return scenario;
 }
 
-auto shortOnlyScenario(double seconds) -> scenario
+auto shortOnlyScenario(double seconds) -> scenario_settings
 {
-    auto made = shortAndLongScenario(seconds);
-    made.name = "short_only";
-    made.longBacklog = 0;
-    return made;
+    auto scenario = shortAndLongScenario(seconds);
+    scenario.name = "short_only";
+    scenario.longBacklog = 0;
+    return scenario;
 }
 
-auto slowedScenario(double seconds, std::uint32_t slowedEngines) -> scenario
+auto slowedScenario(double seconds, std::uint32_t slowedEngines) -> scenario_settings
 {
-    auto made = scenario();
-    made.name = slowedEngines > 0 ? "slowed" : "not_slowed";
-    made.group = measure_group::slowedServers;
-    made.seconds = seconds;
-    made.arrivals = { modelLoad(0.5, 1), plainCalls(5) };
-    made.slowedEngines = slowedEngines;
-    return made;
+    auto scenario = scenario_settings();
+    scenario.name = slowedEngines > 0 ? "slowed" : "not_slowed";
+    scenario.group = measure_group::slowedServers;
+    scenario.seconds = seconds;
+    scenario.arrivals = { modelLoad(0.5, 1), plainCalls(5) };
+    scenario.slowedEngines = slowedEngines;
+    return scenario;
 }
 
 } // namespace marjoramloom::bench
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -7,10 +7,10 @@
 
 namespace marjoramloom::bench {
 
-/// What a run is for. Each group of measures needs its own runs only.
+/// Groups of measures. Each is computed from the runs of its own scenarios.
 enum class measure_group {
     fairness,
-    control, ///< Measured in the run for fairness.
+    control, ///< Computed from the fairness scenario.
     uneven,
     crest,
     shortBehindLong,
@@ -35,55 +35,54 @@
 
 namespace marjoramloom::bench {
 
-/// How requests of some classes arrive.
+/// Rate at which requests of some classes arrive. The load rises periodically to a crest.
 struct arrival_rule
 {
-    std::string requestClass; ///< Empty: all classes of the model, by their shares.
-    work_length length = work_length::shortWork; ///< With `byLength`: classes of that length only.
-    bool byLength = false;
-    double load = 0; ///< Part of the engines' capacity that it asks for between swings.
-    double swing = 1; ///< Factor of the load at the crest.
-    bool swingLargeOnly = false; ///< Only large accounts swing.
-    double callsPerSecond = 0; ///< Instead of load, for plain services.
+    std::string requestClass; ///< Not evaluated.
+    work_length length = work_length::shortWork; ///< The only length that arrives, where filtersByLength is set.
+    bool filtersByLength = false;
+    double load = 0; ///< Demand between crests, as a fraction of the engines' capacity.
+    double crestFactor = 1; ///< Factor of the load during a crest.
+    bool onlyLargeAccountsCrest = false; ///< Only the load of large accounts rises.
+    double callsPerSecond = 0; ///< Used instead of load for calls of the order service, where not 0.
 };
 
-/// One run: who asks for how much when, and which engines are slowed.
-struct scenario
+/// Parameters of one run: its demand and its slowed engines.
+struct scenario_settings
 {
     std::string name;
     measure_group group = measure_group::fairness;
     double seconds = 120; ///< Simulated, after the warm-up.
     double warmUpSeconds = 10;
-    bool backlogged = false; ///< Every account keeps its backlog outstanding.
-    double longBacklog = 0; ///< Long requests kept outstanding, as a multiple of the engines' slots.
+    bool backlogged = false; ///< Every account always has its backlog of requests outstanding.
+    double longBacklog = 0; ///< Long requests always outstanding, as a multiple of the engines' slots.
     std::vector<arrival_rule> arrivals;
-    double swingPeriodSeconds = 40;
-    double swingLengthSeconds = 10;
-    double firstDataCentreShare =
-        0; ///< Part of all requests that enters there, whatever the account; 0: as accounts do.
-    std::uint32_t slowedEngines = 0; ///< At a time.
+    double crestPeriodSeconds = 40;
+    double crestSeconds = 10;
+    double firstDataCentreShare = 0; ///< Fraction of requests that enter there; others use their account's routers.
+    std::uint32_t slowedEngines = 0; ///< Engines slowed at the same time.
     double slowdown = 5;
     double slowPeriodSeconds = 20;
-    double slowLengthSeconds = 8;
+    double slowSeconds = 8;
     std::uint64_t seed = 1;
 };
 
-/// All accounts backlogged, spread unevenly over the data centres.
-auto backloggedScenario(double seconds) -> scenario;
+/// All accounts are backlogged and spread unevenly over the data centres.
+auto backloggedScenario(double seconds) -> scenario_settings;
 
-/// Nearly all work enters one data centre, more of it at times than the fleet can do.
-auto unevenScenario(double seconds) -> scenario;
+/// Nearly all requests enter one data centre; at the crest they exceed the capacity of the fleet.
+auto unevenScenario(double seconds) -> scenario_settings;
 
-/// Large accounts ask for five times as much for some seconds; small ones stay within their share.
-auto crestScenario(double seconds) -> scenario;
+/// The load of large accounts periodically rises to five times; small accounts stay within their share.
+auto crestScenario(double seconds) -> scenario_settings;
 
-/// Short work that swings, beside long work that always waits.
-auto shortAndLongScenario(double seconds) -> scenario;
+/// Short work with crests, while long work is always waiting.
+auto shortAndLongScenario(double seconds) -> scenario_settings;
 
-/// The same short work alone.
-auto shortOnlyScenario(double seconds) -> scenario;
+/// The short work of shortAndLongScenario alone.
+auto shortOnlyScenario(double seconds) -> scenario_settings;
 
-/// Moderate load while two engines at a time are slowed, and the same without.
-auto slowedScenario(double seconds, std::uint32_t slowedEngines) -> scenario;
+/// Moderate load while \p slowedEngines engines at a time are slowed; 0 gives the run to compare with.
+auto slowedScenario(double seconds, std::uint32_t slowedEngines) -> scenario_settings;
 
 } // namespace marjoramloom::bench
--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -1,4 +1,5 @@
-// Slopes for docs/CAPACITY.md: what one more heartbeat, ticket, digest entry, member, account or engine costs.
+// Measures the marginal costs in docs/CAPACITY.md: the bytes, processor time and memory that each further heartbeat,
+// ticket, digest entry, member, account or engine takes.
 
 #include "../tests/unit/peer/fake_peer.h"
 #include "allocation_count.h"
@@ -27,7 +28,7 @@
 
 namespace {
 
-std::atomic<std::size_t> allocated = 0;
+std::atomic<std::size_t> allocatedByteCount = 0;
 
 } // namespace
 
@@ -37,13 +38,13 @@
     if (!memory) {
         throw std::bad_alloc();
     }
-    allocated += malloc_usable_size(memory);
+    allocatedByteCount += malloc_usable_size(memory);
     return memory;
 }
 
 auto operator delete(void *memory) noexcept -> void
 {
-    allocated -= malloc_usable_size(memory);
+    allocatedByteCount -= malloc_usable_size(memory);
     std::free(memory);
 }
 
@@ -56,7 +57,7 @@
 
 auto allocatedBytes() -> std::size_t
 {
-    return allocated;
+    return allocatedByteCount;
 }
 
 namespace {
@@ -64,43 +65,45 @@
 using namespace std::chrono_literals;
 
 const auto start = time_point(1h);
-constexpr auto batch = 256; ///< Messages between which a slope is taken.
-constexpr auto repeats = 40;
-constexpr auto headerBytes = 74; ///< Per envelope: nng 8, TCP with timestamps 32, IP 20, Ethernet 14.
+constexpr auto extraMessages = 256; ///< Messages added to an envelope of one to measure the cost per message.
+constexpr auto defaultRepetitions = 40;
+constexpr auto headerBytesPerEnvelope = 74; ///< nng 8, TCP with timestamps 32, IP 20, Ethernet 14.
 
-/// One line of the table; fields that were not measured are negative.
+/// The cost of one more object, a row of the printed table. Fields that were not measured are negative.
 struct slope
 {
-    std::string what;
+    std::string name;
     double bytes = -1; ///< On the wire, without headers.
     double encodeNs = -1;
     double decodeNs = -1;
     double memoryBytes = -1;
 };
 
-auto threadNs() -> double
+/// Processor time of the calling thread in nanoseconds.
+auto threadCpuNs() -> double
 {
     auto spent = timespec();
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &spent);
     return double(spent.tv_sec) * 1e9 + double(spent.tv_nsec);
 }
 
-/// Least processor time of \p action over some repeats, in nanoseconds.
+/// Runs \p action repeatedly and returns its lowest processor time in nanoseconds.
 template<typename Action>
-auto leastNs(Action action, int times = repeats) -> double
+auto minCpuNs(Action action, int repetitions = defaultRepetitions) -> double
 {
-    auto least = 1e18;
-    for (auto repeat = 0; repeat < times; ++repeat) {
-        const auto before = threadNs();
+    auto minimum = 1e18;
+    for (auto repetition = 0; repetition < repetitions; ++repetition) {
+        const auto before = threadCpuNs();
         action();
-        least = std::min(least, threadNs() - before);
+        minimum = std::min(minimum, threadCpuNs() - before);
     }
-    return least;
+    return minimum;
 }
 
-/// Bytes and processor time of one more message of a kind, within an envelope of many.
+/// Bytes and processor time of each further message of a kind in an envelope. \p add appends a message, \p read decodes
+/// all.
 template<typename Add, typename Read>
-auto messageSlope(const std::string &what, Add add, Read read) -> slope
+auto messageSlope(const std::string &name, Add add, Read read) -> slope
 {
     const auto make = [&](int count) {
         auto message = wire::Envelope();
@@ -116,67 +119,67 @@
         read(message);
     };
     const auto one = make(1);
-    const auto many = make(batch + 1);
-    auto found = slope{ what };
-    found.bytes = double(many.size() - one.size()) / batch;
-    found.encodeNs = (leastNs([&] { make(batch + 1); }) - leastNs([&] { make(1); })) / batch;
-    found.decodeNs = (leastNs([&] { parse(many); }) - leastNs([&] { parse(one); })) / batch;
-    return found;
+    const auto manyMessages = make(extraMessages + 1);
+    auto result = slope{ name };
+    result.bytes = double(manyMessages.size() - one.size()) / extraMessages;
+    result.encodeNs = (minCpuNs([&] { make(extraMessages + 1); }) - minCpuNs([&] { make(1); })) / extraMessages;
+    result.decodeNs = (minCpuNs([&] { parse(manyMessages); }) - minCpuNs([&] { parse(one); })) / extraMessages;
+    return result;
 }
 
-/// Memory that \p count things take in what \p make returns, each.
+/// Memory per object. \p make takes a count and returns a container of that many objects.
 template<typename Make>
-auto memorySlope(Make make, int few, int many) -> double
+auto memorySlope(Make make, int fewCount, int manyCount) -> double
 {
     const auto measure = [&](int count) {
         const auto before = allocatedBytes();
-        const auto held = make(count);
+        const auto objects = make(count);
         return double(allocatedBytes() - before);
     };
-    return (measure(many) - measure(few)) / (many - few);
+    return (measure(manyCount) - measure(fewCount)) / (manyCount - fewCount);
 }
 
 auto exampleMember(int index) -> member
 {
-    auto memberInfo = member();
-    memberInfo.incarnation = 0x1A0000000000000 + static_cast<incarnation_id>(index);
-    memberInfo.instance = "router-" + std::to_string(100'000 + index);
-    memberInfo.dataCentre = "region-1-dc-" + std::to_string(1 + index % 3);
-    memberInfo.region = "region-1";
-    memberInfo.peerAddress = "10.11.12." + std::to_string(index % 250) + ":7946";
-    memberInfo.configurationSequence = 250'000;
-    memberInfo.heartbeatCount = 1'000'000;
-    memberInfo.ready = true;
-    return memberInfo;
+    auto example = member();
+    example.incarnation = 0x1A0000000000000 + static_cast<incarnation_id>(index);
+    example.instance = "router-" + std::to_string(100'000 + index);
+    example.dataCentre = "region-1-dc-" + std::to_string(1 + index % 3);
+    example.region = "region-1";
+    example.peerAddress = "10.11.12." + std::to_string(index % 250) + ":7946";
+    example.configurationSequence = 250'000;
+    example.heartbeatCount = 1'000'000;
+    example.ready = true;
+    return example;
 }
 
 const auto examplePool = pool_id{ "region-1-dc-1", { 250'000 << 10U } };
 
 auto exampleTicket(int index) -> ticket
 {
-    auto waiting = ticket();
-    waiting.id = { 0x1234567890ABCDEF, std::uint64_t(1'000'000 + index) };
-    waiting.origin = examplePool;
-    waiting.account = { std::uint64_t(100'000 + index % 41) << 10U };
-    waiting.profile = { std::uint64_t(100'000) << 10U };
-    waiting.expectedCost = 245;
-    waiting.prefixHash = 0xABCDEF0123456789;
-    waiting.submitted = start;
-    waiting.deadline = start + 30s;
-    return waiting;
+    auto example = ticket();
+    example.id = { 0x1234567890ABCDEF, std::uint64_t(1'000'000 + index) };
+    example.origin = examplePool;
+    example.account = { std::uint64_t(100'000 + index % 41) << 10U };
+    example.profile = { std::uint64_t(100'000) << 10U };
+    example.expectedCost = 245;
+    example.prefixHash = 0xABCDEF0123456789;
+    example.submitted = start;
+    example.deadline = start + 30s;
+    return example;
 }
 
 auto exampleGrant(int index) -> grant
 {
-    auto given = grant();
+    auto example = grant();
     const auto waiting = exampleTicket(index);
-    given.ticket = waiting.id;
-    given.account = waiting.account;
-    given.server = { std::uint64_t(200'000 + index) << 10U };
-    given.pool = examplePool;
-    given.charged = 245;
-    given.reason = "load=3/8 pace=1.02 prefix=1 of 32";
-    return given;
+    example.ticket = waiting.id;
+    example.account = waiting.account;
+    example.server = { std::uint64_t(200'000 + index) << 10U };
+    example.pool = examplePool;
+    example.charged = 245;
+    example.reason = "load=3/8 pace=1.02 prefix=1 of 32";
+    return example;
 }
 
 auto wireSlopes() -> std::vector<slope>
@@ -204,8 +207,8 @@
     slopes.push_back(messageSlope(
         "progress",
         [](auto &message, int index) {
-            const auto use = request_use{ exampleTicket(index).id, examplePool, 123 };
-            encode(use, *message.add_progress());
+            const auto usage = request_use{ exampleTicket(index).id, examplePool, 123 };
+            encode(usage, *message.add_progress());
         },
         [&](const auto &message) {
             for (const auto &item : message.progress()) {
@@ -215,8 +218,8 @@
     slopes.push_back(messageSlope(
         "settlement",
         [](auto &message, int index) {
-            const auto use = request_use{ exampleTicket(index).id, examplePool, 245 };
-            encode(use, *message.add_settlements());
+            const auto usage = request_use{ exampleTicket(index).id, examplePool, 245 };
+            encode(usage, *message.add_settlements());
         },
         [&](const auto &message) {
             for (const auto &item : message.settlements()) {
@@ -265,10 +268,10 @@
             if (message.digests_size() == 0) {
                 encode(pool_digest{ examplePool, 1, 0, {} }, *message.add_digests());
             }
-            auto &row = *message.mutable_digests(0)->add_waiting();
-            row.set_account(exampleTicket(index).account.value);
-            row.set_service(1e9 + index);
-            row.set_tickets(20);
+            auto &entry = *message.mutable_digests(0)->add_waiting();
+            entry.set_account(exampleTicket(index).account.value);
+            entry.set_service(1e9 + index);
+            entry.set_tickets(20);
         },
         [&](const auto &message) { decodeDigest(message.digests(0), "peer", why); }));
     slopes.push_back(messageSlope(
@@ -283,23 +286,24 @@
     slopes.push_back(messageSlope(
         "heartbeat (short)",
         [](auto &message, int index) {
-            // A whole envelope, as it is sent alone: kept as a value of a change to take the slope of its bytes.
-            auto alone = wire::Envelope();
-            alone.set_version(1);
-            alone.set_sender(exampleMember(index).incarnation);
-            alone.set_receiver(exampleMember(index).incarnation);
-            alone.set_stream(20);
-            alone.set_sequence(100'000);
-            alone.set_heard_stream(20);
-            alone.set_heard(100'000);
-            encodeHeartbeat(exampleMember(index), false, *alone.mutable_heartbeat());
-            message.add_changes()->set_value(alone.SerializeAsString());
+            // A heartbeat is sent in an envelope of its own. The envelope is stored as the value of a change, so that
+            // several fit into one message.
+            auto inner = wire::Envelope();
+            inner.set_version(1);
+            inner.set_sender(exampleMember(index).incarnation);
+            inner.set_receiver(exampleMember(index).incarnation);
+            inner.set_stream(20);
+            inner.set_sequence(100'000);
+            inner.set_heard_stream(20);
+            inner.set_heard(100'000);
+            encodeHeartbeat(exampleMember(index), false, *inner.mutable_heartbeat());
+            message.add_changes()->set_value(inner.SerializeAsString());
         },
         [](const auto &message) {
             for (const auto &item : message.changes()) {
-                auto alone = wire::Envelope();
-                alone.ParseFromString(item.value());
-                decodeMember(alone.sender(), alone.heartbeat());
+                auto inner = wire::Envelope();
+                inner.ParseFromString(item.value());
+                decodeMember(inner.sender(), inner.heartbeat());
             }
         }));
     return slopes;
@@ -324,7 +328,8 @@
     return server;
 }
 
-auto changeOf(std::uint64_t sequence, const configuration_object &object) -> std::string
+/// A configuration change that puts one object, as text.
+auto encodeChange(std::uint64_t sequence, const configuration_object &object) -> std::string
 {
     auto change = configuration_change();
     change.sequence = sequence;
@@ -335,7 +340,7 @@
     return changeToText(change);
 }
 
-/// A store with the target's 2,800 engines and \p accounts accounts.
+/// A configuration store with \p accounts accounts and the 2,800 engines of the target deployment.
 auto targetStore(counter_registry &counters, int accounts) -> std::unique_ptr<configuration_store>
 {
     auto store = std::make_unique<configuration_store>(counters);
@@ -367,7 +372,7 @@
     }
     flush();
     if (store->read()->backendServers.size() != 2'800) {
-        throw std::runtime_error("the example configuration was refused");
+        throw std::runtime_error("the configuration store refused the example configuration: engines are missing");
     }
     return store;
 }
@@ -378,27 +383,27 @@
     auto slopes = std::vector<slope>();
     auto store = targetStore(counters, 410);
     const auto snapshot = store->snapshot();
-    auto applied = slope{ "change of one engine, at 2,800 engines" };
-    applied.bytes = double(changeOf(1, exampleServer(0)).size());
-    applied.decodeNs = leastNs(
+    auto changeSlope = slope{ "change of one engine, at 2,800 engines" };
+    changeSlope.bytes = double(encodeChange(1, exampleServer(0)).size());
+    changeSlope.decodeNs = minCpuNs(
         [&] {
             const auto next = store->sequence() + 1;
-            store->offer(next, changeOf(next, exampleServer(int(next % 2'800))), change_source::local);
+            store->offer(next, encodeChange(next, exampleServer(int(next % 2'800))), change_source::local);
         },
         5);
-    slopes.push_back(applied);
-    auto whole = slope{ "snapshot of 410 accounts and 2,800 engines" };
-    whole.bytes = double(snapshot.value.size());
-    whole.decodeNs = leastNs(
+    slopes.push_back(changeSlope);
+    auto snapshotSlope = slope{ "snapshot of 410 accounts and 2,800 engines" };
+    snapshotSlope.bytes = double(snapshot.value.size());
+    snapshotSlope.decodeNs = minCpuNs(
         [&] {
             auto empty = configuration_store(counters);
             empty.offer(snapshot.sequence, snapshot.value, change_source::peer);
         },
         3);
     const auto before = allocatedBytes();
-    const auto kept = targetStore(counters, 410);
-    whole.memoryBytes = double(allocatedBytes() - before);
-    slopes.push_back(whole);
+    const auto secondStore = targetStore(counters, 410);
+    snapshotSlope.memoryBytes = double(allocatedBytes() - before);
+    slopes.push_back(snapshotSlope);
     auto account = slope{ "account in the configuration" };
     account.memoryBytes = memorySlope([&](int count) { return targetStore(counters, count); }, 100, 500);
     slopes.push_back(account);
@@ -416,7 +421,7 @@
     return servers;
 }
 
-/// A ledger and a dispatcher with \p engines engines, as one pool has them.
+/// The ledger and the dispatcher of one pool, with a given number of engines.
 struct pool_under_test
 {
     explicit pool_under_test(int engines)
@@ -426,18 +431,18 @@
             weights[exampleTicket(index).account] = 1;
         }
         ledger.setWeights(weights);
-        holder.placement().setServers(exampleServers(engines), start);
+        poolDispatcher.placement().setServers(exampleServers(engines), start);
     }
 
     auto submit(int from, int count) -> void
     {
         for (auto index = from; index < from + count; ++index) {
-            holder.submit(exampleTicket(index), start);
+            poolDispatcher.submit(exampleTicket(index), start);
         }
     }
 
     share_ledger ledger;
-    dispatcher holder{ examplePool, {}, ledger };
+    dispatcher poolDispatcher{ examplePool, {}, ledger };
 };
 
 auto decisionSlopes() -> std::vector<slope>
@@ -460,18 +465,19 @@
         [](int count) {
             auto pool = std::make_unique<pool_under_test>(130);
             pool->submit(0, count);
-            [[maybe_unused]] const auto decided = pool->holder.decide(start);
+            [[maybe_unused]] const auto decided = pool->poolDispatcher.decide(start);
             return pool;
         },
         100, 900);
     slopes.push_back(running);
-    // Submit, decide, progress twice, settle; 32 engines, their slots nearly full, 41 accounts backlogged.
+    // Each request is submitted, granted, reported as progress twice and settled. The 32 engines have nearly no free
+    // slots, and 41 accounts are backlogged.
     auto pool = pool_under_test(32);
     pool.submit(0, 1'000);
     auto granted = std::deque<grant>();
     const auto decide = [&](time_point now) {
-        for (auto &given : pool.holder.decide(now).grants) {
-            granted.push_back(given);
+        for (auto &newGrant : pool.poolDispatcher.decide(now).grants) {
+            granted.push_back(newGrant);
         }
     };
     decide(start);
@@ -479,18 +485,18 @@
     auto now = start;
     auto cycle = slope{ "request at a dispatcher, submit to settle" };
     constexpr auto requests = 200;
-    cycle.decodeNs = leastNs([&] {
+    cycle.decodeNs = minCpuNs([&] {
                          for (auto index = 0; index < requests && !granted.empty(); ++index) {
                              now += 9ms;
-                             const auto done = granted.front();
+                             const auto oldest = granted.front();
                              granted.pop_front();
-                             pool.holder.progress(done.ticket, 100, now);
-                             pool.holder.progress(done.ticket, 200, now);
-                             pool.holder.settle(done.ticket, 245, now);
+                             pool.poolDispatcher.progress(oldest.ticket, 100, now);
+                             pool.poolDispatcher.progress(oldest.ticket, 200, now);
+                             pool.poolDispatcher.settle(oldest.ticket, 245, now);
                              auto next = exampleTicket(serial++);
                              next.submitted = now;
                              next.deadline = now + 30s;
-                             pool.holder.submit(next, now);
+                             pool.poolDispatcher.submit(next, now);
                              decide(now);
                          }
                      })
@@ -512,8 +518,8 @@
 
 auto memberSlope() -> slope
 {
-    auto found = slope{ "member" };
-    found.memoryBytes = memorySlope(
+    auto result = slope{ "member" };
+    result.memoryBytes = memorySlope(
         [](int count) {
             auto routers = std::make_unique<membership>(exampleMember(0), membership_settings());
             for (auto index = 1; index <= count; ++index) {
@@ -523,7 +529,7 @@
             return routers;
         },
         40, 340);
-    return found;
+    return result;
 }
 
 /// Resident memory of this process in bytes.
@@ -536,18 +542,18 @@
     return resident * double(sysconf(_SC_PAGESIZE));
 }
 
-/// Memory of one connected nng link with its listener's end, both in this process.
+/// Memory of one connected nng link. Both ends are in this process and counted.
 auto nngLinkSlope() -> slope
 {
     constexpr auto links = 256;
     auto context = boost::asio::io_context();
     auto transport = nng_transport(context.get_executor());
     auto why = last_reason();
-    auto found = slope{ "nng link, both ends" };
+    auto result = slope{ "nng link, both ends" };
     if (!transport.listen("127.0.0.1:0", why)) {
-        return found;
+        return result;
     }
-    const auto openSome = [&](int count) {
+    const auto openLinks = [&](int count) {
         for (auto index = 0; index < count; ++index) {
             const auto link = transport.open(transport.listenAddress());
             transport.write(link, std::string(64, 'x'));
@@ -555,27 +561,27 @@
         context.run_for(500ms);
         context.restart();
     };
-    openSome(8);
+    openLinks(8);
     const auto before = residentBytes();
-    openSome(links);
-    found.memoryBytes = (residentBytes() - before) / links;
-    return found;
+    openLinks(links);
+    result.memoryBytes = (residentBytes() - before) / links;
+    return result;
 }
 
-/// The control traffic of a whole fleet on a manual clock.
+/// Measurements of the control traffic between the routers of a simulated fleet.
 struct fleet_figures
 {
     double seconds = 0;
-    double meanBytes = 0; ///< Sent by a router a second, without headers.
-    double worstBytes = 0;
-    double meanEnvelopes = 0; ///< Sent by a router a second.
-    double worstEnvelopes = 0; ///< Of the router that sends the most bytes.
-    double coreFraction = 0; ///< Processor time of a router, as a fraction of a core; the fake network included.
-    double memoryBytes = 0; ///< Of a router's links, members and exchanges; sockets excluded.
-    double links = 0; ///< Held by a router, mean.
+    double meanBytes = 0; ///< Sent by a router per second, without headers.
+    double worstBytes = 0; ///< Sent per second by the router that sends the most bytes.
+    double meanEnvelopes = 0; ///< Sent by a router per second.
+    double worstEnvelopes = 0; ///< Sent per second by the router that sends the most bytes.
+    double coreFraction = 0; ///< Processor time per router including the fake network, as a fraction of a core.
+    double memoryBytes = 0; ///< Links, members and exchanges of a router, without sockets.
+    double links = 0; ///< Mean number per router.
 };
 
-/// A router of the simulated fleet with its exchanges.
+/// A router of the simulated fleet with its ledger and its exchanges of totals and digests.
 struct fleet_router
 {
     fleet_router(fake_network &network, const std::string &instance, const std::map<object_id, double> &weights,
@@ -604,6 +610,7 @@
     digest_exchange<fake_peer> digests;
 };
 
+/// Size and load of a simulated fleet.
 struct fleet_plan
 {
     int dataCentres = 3;
@@ -615,6 +622,7 @@
     int models = 2;
 };
 
+/// Simulates the control messages of a fleet of routers on a manual clock and a fake network.
 class simulated_fleet
 {
 public:
@@ -632,27 +640,29 @@
             m_models.push_back({ std::uint64_t(10 + index) << 10U });
         }
         for (auto index = 0; index < plan.routers; ++index) {
-            const auto place = index % plan.dataCentres;
-            auto row = listed_instance();
-            row.name = "router" + std::to_string(10'000 + index);
-            row.dataCentre = "r" + std::to_string(place % plan.regions) + "-dc" + std::to_string(place);
-            row.address = row.name + ":1";
-            m_network.listed.push_back(row);
+            const auto dataCentreIndex = index % plan.dataCentres;
+            auto listed = listed_instance();
+            listed.name = "router" + std::to_string(10'000 + index);
+            listed.dataCentre =
+                "r" + std::to_string(dataCentreIndex % plan.regions) + "-dc" + std::to_string(dataCentreIndex);
+            listed.address = listed.name + ":1";
+            m_network.listed.push_back(listed);
         }
-        for (const auto &row : m_network.listed) {
-            m_network.add(row.name, row.dataCentre, {});
-            m_routers[row.name] = std::make_unique<fleet_router>(m_network, row.name, m_weights, m_models);
+        for (const auto &listed : m_network.listed) {
+            m_network.add(listed.name, listed.dataCentre, {});
+            m_routers[listed.name] = std::make_unique<fleet_router>(m_network, listed.name, m_weights, m_models);
         }
     }
 
-    auto measure(duration settle, duration length) -> fleet_figures
+    /// Runs for \p warmUp, then measures for \p length. The memory is left at 0.
+    auto measure(duration warmUp, duration length) -> fleet_figures
     {
-        run(settle);
+        run(warmUp);
         m_network.bytes.clear();
         m_network.envelopes.clear();
-        const auto before = threadNs();
+        const auto before = threadCpuNs();
         run(length);
-        const auto spent = threadNs() - before;
+        const auto spent = threadCpuNs() - before;
         auto figures = fleet_figures();
         figures.seconds = toSeconds(length);
         figures.coreFraction = spent / 1e9 / figures.seconds / m_plan.routers;
@@ -676,41 +686,41 @@
     {
         for (const auto end = m_network.now() + length; m_network.now() < end;) {
             m_network.run(500ms);
-            serve(0.5);
+            simulateRequests(0.5);
             for (auto &[name, router] : m_routers) {
-                publish(*router);
+                publishDigests(*router);
                 router->totals.tick(m_network.now());
                 router->digests.tick(m_network.now());
             }
         }
     }
 
-    /// Every router serves its share of the requests: half of them for the backlogged accounts.
-    auto serve(double seconds) -> void
+    /// Every router counts its share of the requests in its ledger, half of them for backlogged accounts.
+    auto simulateRequests(double seconds) -> void
     {
-        const auto each = m_plan.requestsPerSecond * seconds / m_plan.routers;
-        auto any = boost::random::uniform_int_distribution<int>(0, m_plan.accounts - 1);
-        auto busy = boost::random::uniform_int_distribution<int>(0, m_plan.backlogged - 1);
+        const auto requestsPerRouter = m_plan.requestsPerSecond * seconds / m_plan.routers;
+        auto anyAccount = boost::random::uniform_int_distribution<int>(0, m_plan.accounts - 1);
+        auto backloggedAccount = boost::random::uniform_int_distribution<int>(0, m_plan.backlogged - 1);
         for (auto &[name, router] : m_routers) {
-            for (auto count = 0; count < int(each); ++count) {
-                const auto index = count % 2 == 0 ? any(m_random) : busy(m_random);
+            for (auto count = 0; count < int(requestsPerRouter); ++count) {
+                const auto index = count % 2 == 0 ? anyAccount(m_random) : backloggedAccount(m_random);
                 router->ledger.count(router->peer.self().incarnation, m_accounts[std::size_t(index)], 245);
             }
         }
     }
 
-    /// Whoever holds a dispatcher tells of 16 accounts at most, as the real one does.
-    auto publish(fleet_router &router) -> void
+    /// A router that runs a dispatcher publishes a digest of at most 16 accounts, like the real dispatcher.
+    auto publishDigests(fleet_router &router) -> void
     {
-        constexpr auto mostAccounts = 16;
-        const auto own = groupByDataCentre(router.peer.members())[router.peer.self().dataCentre];
+        constexpr auto maxDigestAccounts = 16;
+        const auto dataCentreMembers = groupByDataCentre(router.peer.members())[router.peer.self().dataCentre];
         for (const auto &model : m_models) {
             const auto pool = pool_id{ router.peer.self().dataCentre, model };
-            if (findRoleHolder(own, dispatcherRole(pool)) != router.peer.self().incarnation) {
+            if (findRoleHolder(dataCentreMembers, dispatcherRole(pool)) != router.peer.self().incarnation) {
                 continue;
             }
             auto digest = pool_digest{ pool, 1, 0, {} };
-            for (auto index = 0; index < std::min(m_plan.backlogged, mostAccounts); ++index) {
+            for (auto index = 0; index < std::min(m_plan.backlogged, maxDigestAccounts); ++index) {
                 const auto account = m_accounts[std::size_t(index)];
                 digest.waiting.push_back({ account, router.ledger.receivedService(account), 20 });
             }
@@ -727,18 +737,18 @@
     std::map<std::string, std::unique_ptr<fleet_router>> m_routers;
 };
 
-/// Links that were made while the routers looked for each other are closed after half a minute: a shorter \p settle
-/// counts them, too.
-auto measureFleet(const fleet_plan &plan, duration settle, duration length) -> fleet_figures
+/// Measures a simulated fleet. Links opened during discovery close only after half a minute, so that a shorter \p
+/// warmUp counts them, too.
+auto measureFleet(const fleet_plan &plan, duration warmUp, duration length) -> fleet_figures
 {
     const auto before = allocatedBytes();
     auto fleet = simulated_fleet(plan);
-    auto figures = fleet.measure(settle, length);
+    auto figures = fleet.measure(warmUp, length);
     figures.memoryBytes = double(allocatedBytes() - before) / plan.routers;
     return figures;
 }
 
-auto cell(double value) -> std::string
+auto formatCell(double value) -> std::string
 {
     if (value < 0) {
         return "-";
@@ -751,9 +761,10 @@
 auto printSlopes(const std::vector<slope> &slopes) -> void
 {
     std::printf("%-44s %12s %12s %14s %12s\n", "one more", "wire bytes", "encode ns", "decode/do ns", "memory B");
-    for (const auto &one : slopes) {
-        std::printf("%-44s %12s %12s %14s %12s\n", one.what.c_str(), cell(one.bytes).c_str(),
-                    cell(one.encodeNs).c_str(), cell(one.decodeNs).c_str(), cell(one.memoryBytes).c_str());
+    for (const auto &row : slopes) {
+        std::printf("%-44s %12s %12s %14s %12s\n", row.name.c_str(), formatCell(row.bytes).c_str(),
+                    formatCell(row.encodeNs).c_str(), formatCell(row.decodeNs).c_str(),
+                    formatCell(row.memoryBytes).c_str());
     }
 }
 
@@ -761,9 +772,9 @@
 {
     std::printf("\ncontrol of one router, %s (heartbeats, rosters, digests, totals; sent a second)\n", name);
     std::printf("  mean  %8.0f B in %6.1f envelopes, %8.0f B with headers\n", figures.meanBytes, figures.meanEnvelopes,
-                figures.meanBytes + headerBytes * figures.meanEnvelopes);
+                figures.meanBytes + headerBytesPerEnvelope * figures.meanEnvelopes);
     std::printf("  worst %8.0f B in %6.1f envelopes, %8.0f B with headers\n", figures.worstBytes,
-                figures.worstEnvelopes, figures.worstBytes + headerBytes * figures.worstEnvelopes);
+                figures.worstEnvelopes, figures.worstBytes + headerBytesPerEnvelope * figures.worstEnvelopes);
     std::printf("  processor %.3f %% of a core, memory %.0f kB, links %.1f\n", figures.coreFraction * 100,
                 figures.memoryBytes / 1'000, figures.links);
 }
@@ -783,23 +794,23 @@
                const fleet_figures &target) -> void
 {
     auto rows = boost::json::array();
-    for (const auto &one : slopes) {
-        rows.push_back(boost::json::object{ { "one_more", one.what },
-                                            { "wire_bytes", one.bytes },
-                                            { "encode_ns", one.encodeNs },
-                                            { "decode_ns", one.decodeNs },
-                                            { "memory_bytes", one.memoryBytes } });
+    for (const auto &row : slopes) {
+        rows.push_back(boost::json::object{ { "one_more", row.name },
+                                            { "wire_bytes", row.bytes },
+                                            { "encode_ns", row.encodeNs },
+                                            { "decode_ns", row.decodeNs },
+                                            { "memory_bytes", row.memoryBytes } });
     }
-    const auto all =
+    const auto document =
         boost::json::object{ { "slopes", rows }, { "today", toJson(today) }, { "target", toJson(target) } };
-    std::ofstream(path) << boost::json::serialize(all) << '\n';
+    std::ofstream(path) << boost::json::serialize(document) << '\n';
 }
 
 } // namespace
 
 } // namespace marjoramloom
 
-/// `slopes_bench [FILE]`: prints the table, and writes it as JSON to FILE.
+/// Usage: `slopes_bench [FILE]`. Prints the table and, where FILE is given, writes it there as JSON.
 auto main(int argc, char **argv) -> int
 {
     using namespace marjoramloom;
