--- a/tests/load/load_report.cpp
+++ b/tests/load/load_report.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-struct report_row
+/// Results of the requests of one account and profile, or of all.
+struct outcome_counts
 {
-    int whole = 0;
+    int correct = 0;
     int refused = 0;
     int lost = 0;
-    std::vector<double> seconds;
+    std::vector<double> seconds; ///< Durations of the correctly answered requests.
 };
 
 auto quantile(std::vector<double> values, double fraction) -> double
@@ -25,25 +26,25 @@
     return values[static_cast<std::size_t>(fraction * last)];
 }
 
-auto addOutcome(report_row &row, const load_outcome &outcome) -> void
+auto addOutcome(outcome_counts &counts, const load_outcome &outcome) -> void
 {
-    if (outcome.whole) {
-        ++row.whole;
-        row.seconds.push_back(outcome.seconds);
+    if (outcome.correct) {
+        ++counts.correct;
+        counts.seconds.push_back(outcome.seconds);
     } else if (outcome.refused) {
-        ++row.refused;
+        ++counts.refused;
     } else {
-        ++row.lost;
+        ++counts.lost;
     }
 }
 
-auto printRow(const std::pair<std::string, std::string> &key, const report_row &row, std::ostream &out) -> void
+auto printRow(const std::pair<std::string, std::string> &key, const outcome_counts &counts, std::ostream &out) -> void
 {
     constexpr auto msPerSecond = 1000;
     out << std::left << std::setw(16) << key.first << std::setw(10) << key.second << std::right << std::setw(7)
-        << row.whole << std::setw(9) << row.refused << std::setw(6) << row.lost << std::fixed << std::setprecision(1)
-        << std::setw(10) << quantile(row.seconds, 0.5) * msPerSecond << std::setw(10)
-        << quantile(row.seconds, 0.95) * msPerSecond << "\n";
+        << counts.correct << std::setw(9) << counts.refused << std::setw(6) << counts.lost << std::fixed
+        << std::setprecision(1) << std::setw(10) << quantile(counts.seconds, 0.5) * msPerSecond << std::setw(10)
+        << quantile(counts.seconds, 0.95) * msPerSecond << "\n";
 }
 
 } // namespace
@@ -51,11 +52,11 @@
 auto printReport(const std::vector<load_outcome> &outcomes, const std::map<std::string, int> &executions,
                  std::ostream &out) -> bool
 {
-    auto rows = std::map<std::pair<std::string, std::string>, report_row>();
-    auto all = report_row();
+    auto rows = std::map<std::pair<std::string, std::string>, outcome_counts>();
+    auto all = outcome_counts();
     auto missing = 0;
     for (const auto &outcome : outcomes) {
-        if (outcome.whole && !outcome.idempotencyKey.empty() && !executions.contains(outcome.idempotencyKey)) {
+        if (outcome.correct && !outcome.idempotencyKey.empty() && !executions.contains(outcome.idempotencyKey)) {
             ++missing;
             out << "problem: order " << outcome.idempotencyKey << " was answered and not executed\n";
         }
@@ -66,13 +67,13 @@
         }
     }
     out << "account         profile     whole  refused  lost    p50 ms    p95 ms\n";
-    for (const auto &[key, row] : rows) {
-        printRow(key, row, out);
+    for (const auto &[key, counts] : rows) {
+        printRow(key, counts, out);
     }
     const auto repeated =
         std::count_if(executions.begin(), executions.end(), [](const auto &execution) { return execution.second > 1; });
     const auto lost = all.lost + all.refused + missing;
-    out << "demo: " << all.whole << " answers whole, " << lost << " lost, " << repeated << " repeated\n";
+    out << "demo: " << all.correct << " answers whole, " << lost << " lost, " << repeated << " repeated\n";
     return lost == 0 && repeated == 0;
 }
 
--- a/tests/load/load_run.cpp
+++ b/tests/load/load_run.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-enum class request_sort {
+/// Kinds of requests in the mix: chat and review are model services, stock and orders plain services.
+enum class request_kind {
     chat,
     streamedChat,
     review,
@@ -25,34 +26,36 @@
     order,
 };
 
-/// Shares of the sorts of requests, in the order of request_sort.
-constexpr auto sortShares = std::array<double, 5>{ 40, 30, 5, 10, 15 };
+/// Relative frequency of each kind of request, in the order of request_kind.
+constexpr auto kindWeights = std::array<double, 5>{ 40, 30, 5, 10, 15 };
 
+/// One request of the mix, before it is sent.
 struct planned_request
 {
-    request_sort sort = request_sort::chat;
+    request_kind kind = request_kind::chat;
     std::string router;
     std::string account;
-    std::string text; ///< Prompt or body.
+    std::string text; ///< Prompt of a model call, or item in the body of a plain call.
     std::string idempotencyKey;
 };
 
 auto planRequests(const load_plan &plan) -> std::vector<planned_request>
 {
     auto random = boost::random::mt19937_64(static_cast<std::uint64_t>(plan.seed));
-    auto sorts = boost::random::discrete_distribution<int>(sortShares);
+    auto kinds = boost::random::discrete_distribution<int>(kindWeights);
     auto tokens = boost::random::uniform_int_distribution<int>(10, 120);
     auto requests = std::vector<planned_request>();
     for (auto index = 0; index < plan.requests; ++index) {
         auto request = planned_request();
-        request.sort = static_cast<request_sort>(sorts(random));
+        request.kind = static_cast<request_kind>(kinds(random));
         request.router = plan.routers[static_cast<std::size_t>(index) % plan.routers.size()];
-        const auto pick = boost::random::uniform_int_distribution<std::size_t>(0, plan.accounts.size() - 1)(random);
-        request.account = plan.accounts[pick];
+        const auto accountIndex =
+            boost::random::uniform_int_distribution<std::size_t>(0, plan.accounts.size() - 1)(random);
+        request.account = plan.accounts[accountIndex];
         const auto name = std::to_string(plan.seed) + "-" + std::to_string(index);
-        const auto length = request.sort == request_sort::review ? 10 * tokens(random) : tokens(random);
+        const auto length = request.kind == request_kind::review ? 10 * tokens(random) : tokens(random);
         request.text = "request " + name + " tokens=" + std::to_string(length);
-        if (request.sort == request_sort::order) {
+        if (request.kind == request_kind::order) {
             request.idempotencyKey = "order-" + name;
         }
         requests.push_back(std::move(request));
@@ -60,26 +63,26 @@
     return requests;
 }
 
-auto isModelCall(request_sort sort) -> bool
+auto isModelCall(request_kind kind) -> bool
 {
-    return sort == request_sort::chat || sort == request_sort::streamedChat || sort == request_sort::review;
+    return kind == request_kind::chat || kind == request_kind::streamedChat || kind == request_kind::review;
 }
 
-auto profileOf(request_sort sort) -> std::string
+auto profileOf(request_kind kind) -> std::string
 {
-    if (sort == request_sort::review) {
+    if (kind == request_kind::review) {
         return "lengthy";
     }
-    return sort == request_sort::order ? "order" : "quick";
+    return kind == request_kind::order ? "order" : "quick";
 }
 
 auto completionsBody(const planned_request &planned) -> std::string
 {
     const auto message = json::object{ { "role", "user" }, { "content", planned.text } };
     return json::serialize(json::object{
-        { "model", planned.sort == request_sort::review ? "review" : "chat" },
+        { "model", planned.kind == request_kind::review ? "review" : "chat" },
         { "messages", json::array{ message } },
-        { "stream", planned.sort == request_sort::streamedChat },
+        { "stream", planned.kind == request_kind::streamedChat },
     });
 }
 
@@ -89,12 +92,12 @@
     request.method = "POST";
     request.headers = { { "Authorization", "Bearer key-" + planned.account }, { "Content-Type", "application/json" } };
     request.timeout = std::chrono::seconds(120);
-    if (isModelCall(planned.sort)) {
+    if (isModelCall(planned.kind)) {
         request.target = "/v1/chat/completions";
         request.body = completionsBody(planned);
         return request;
     }
-    request.target = planned.sort == request_sort::order ? "/services/orders/place" : "/services/stock/check";
+    request.target = planned.kind == request_kind::order ? "/services/orders/place" : "/services/stock/check";
     request.body = json::serialize(json::object{ { "item", planned.text } });
     if (!planned.idempotencyKey.empty()) {
         request.headers["Idempotency-Key"] = planned.idempotencyKey;
@@ -104,7 +107,7 @@
 
 auto textOf(const planned_request &planned, const test::http_answer &answer) -> std::string
 {
-    if (planned.sort == request_sort::streamedChat) {
+    if (planned.kind == request_kind::streamedChat) {
         return test::streamEnded(answer.body) ? test::streamedText(answer.body) : std::string();
     }
     auto error = boost::system::error_code();
@@ -113,30 +116,30 @@
     return content && content->is_string() ? std::string(content->as_string()) : std::string();
 }
 
-auto isRight(const planned_request &planned, const test::http_answer &answer) -> bool
+auto isCorrect(const planned_request &planned, const test::http_answer &answer) -> bool
 {
-    if (!answer.whole || answer.status != 200) {
+    if (!answer.complete || answer.status != 200) {
         return false;
     }
-    if (!isModelCall(planned.sort)) {
+    if (!isModelCall(planned.kind)) {
         return true;
     }
-    const auto expected = standins::wholeAnswer({ { "user", planned.text } }).text();
+    const auto expected = standins::completeAnswer({ { "user", planned.text } }).text();
     return textOf(planned, answer) == expected;
 }
 
-auto sendOne(const planned_request &planned) -> load_outcome
+auto sendRequest(const planned_request &planned) -> load_outcome
 {
     const auto begin = std::chrono::steady_clock::now();
     const auto answer = test::httpCall(planned.router, httpRequestOf(planned));
     auto outcome = load_outcome();
     outcome.account = planned.account;
-    outcome.profile = profileOf(planned.sort);
+    outcome.profile = profileOf(planned.kind);
     outcome.idempotencyKey = planned.idempotencyKey;
     outcome.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-    outcome.whole = isRight(planned, answer);
+    outcome.correct = isCorrect(planned, answer);
     outcome.refused = answer.headers.contains("x-not-run");
-    if (!outcome.whole) {
+    if (!outcome.correct) {
         outcome.problem = std::to_string(answer.status) + " " + answer.error + " " + answer.body.substr(0, 200);
     }
     return outcome;
@@ -151,7 +154,7 @@
     auto next = std::atomic<std::size_t>(0);
     const auto work = [&] {
         for (auto index = next++; index < requests.size(); index = next++) {
-            outcomes[index] = sendOne(requests[index]);
+            outcomes[index] = sendRequest(requests[index]);
         }
     };
     auto threads = std::vector<std::thread>();
--- a/tests/load/load_run.h
+++ b/tests/load/load_run.h
@@ -6,33 +6,33 @@
 
 namespace marjoramloom::load {
 
-/// What to send.
+/// Parameters of the load: its targets and size.
 struct load_plan
 {
-    std::vector<std::string> routers; ///< IP:port of callers' listeners.
+    std::vector<std::string> routers; ///< IP:port of the routers' listeners for callers.
     std::vector<std::string> accounts;
-    std::vector<std::string> orderServers; ///< IP:port of the stand-ins that carry out orders.
+    std::vector<std::string> orderServers; ///< IP:port of the stand-ins that execute orders.
     int requests = 300;
-    int concurrency = 16;
+    int concurrency = 16; ///< Requests in flight at once.
     int seed = 1;
 };
 
-/// How one request went.
+/// Result of one request.
 struct load_outcome
 {
     std::string account;
     std::string profile;
-    std::string idempotencyKey; ///< Of orders.
-    bool whole = false; ///< The answer came whole and is the right one.
-    bool refused = false; ///< The router said that it was not run.
+    std::string idempotencyKey; ///< Set for orders only.
+    bool correct = false; ///< The answer is complete and has the expected content.
+    bool refused = false; ///< The router reported that the request was not run.
     double seconds = 0;
-    std::string problem;
+    std::string problem; ///< Status, error and start of the body if the answer is not correct.
 };
 
-/// Sends the mix of \p plan and waits for every answer.
+/// Sends the requests of \p plan and waits for every answer. Returns the results in the order of the requests.
 auto runLoad(const load_plan &plan) -> std::vector<load_outcome>;
 
-/// How often each idempotency key was executed, by the stand-ins' own record, which has one line per execution.
+/// Returns how often each idempotency key was executed, from the execution records of the stand-ins \p orderServers.
 auto countExecutions(const std::vector<std::string> &orderServers) -> std::map<std::string, int>;
 
 } // namespace marjoramloom::load
--- a/tests/load/main.cpp
+++ b/tests/load/main.cpp
@@ -1,4 +1,5 @@
-// Sends mixed load to routers and checks each answer against what the stand-ins must say and did execute.
+// Sends mixed load to routers. Checks each answer against the content that the stand-ins generate, and each order
+// against the stand-ins' execution records.
 
 #include "load_report.h"
 #include "load_run.h"
--- a/tests/process/call/call_fleet.cpp
+++ b/tests/process/call/call_fleet.cpp
@@ -8,8 +8,8 @@
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
-    plan.enginesEach = engines;
-    plan.routersEach = routers;
+    plan.enginesPerDataCentre = engines;
+    plan.routersPerDataCentre = routers;
     plan.tokenMs = tokenMs;
     return plan;
 }
@@ -39,7 +39,7 @@
         call->thread.join();
         const auto &answer = call->answer;
         const auto text = call->stream ? streamedText(answer.body) : answerText(answer);
-        const auto ended = answer.whole && (!call->stream || streamEnded(answer.body));
+        const auto ended = answer.complete && (!call->stream || streamEnded(answer.body));
         incomplete += ended && text == expectedText(call->prompt) ? 0 : 1;
         BOOST_TEST(ended, call->prompt + ": status " + std::to_string(answer.status) + " " + answer.error);
         BOOST_TEST(text == expectedText(call->prompt));
--- a/tests/process/call/stop_test.cpp
+++ b/tests/process/call/stop_test.cpp
@@ -50,7 +50,7 @@
     auto testFleet = fleet(oneDataCentre(4, 2, 1));
     auto &engine = *testFleet.engines().front();
     sendChatsFor(testFleet, std::chrono::milliseconds(500), "before ");
-    testFleet.listInstances({ engine.name() });
+    testFleet.publishInstances({ engine.name() });
     checkNoNewWork(testFleet, engine);
 }
 
@@ -74,7 +74,7 @@
     sendChatsFor(testFleet, std::chrono::milliseconds(500), "before ");
     for (auto &paused : testFleet.routers()) {
         paused.process->signal(SIGSTOP);
-        testFleet.listInstances({ engine.name() });
+        testFleet.publishInstances({ engine.name() });
         std::this_thread::sleep_for(propagationTime + std::chrono::seconds(1));
         const auto before = startedRequests(engine);
         auto calls = parallel_calls(testFleet);
@@ -84,7 +84,7 @@
         paused.process->signal(SIGCONT);
         calls.finish();
         BOOST_TEST(startedRequests(engine) == before, paused.name);
-        testFleet.listInstances();
+        testFleet.publishInstances();
         std::this_thread::sleep_for(std::chrono::seconds(2));
     }
 }
--- a/tests/process/contract/configuration_faults_test.cpp
+++ b/tests/process/contract/configuration_faults_test.cpp
@@ -21,17 +21,17 @@
 /// A fleet without engines and order servers, for tests of the configuration.
 struct configured_fleet
 {
-    explicit configured_fleet(int routersEach = 1)
-        : all(plan(routersEach))
+    explicit configured_fleet(int routersPerDataCentre = 1)
+        : all(plan(routersPerDataCentre))
     {
     }
 
-    static auto plan(int routersEach) -> fleet_plan
+    static auto plan(int routersPerDataCentre) -> fleet_plan
     {
         auto result = fleet_plan();
-        result.routersEach = routersEach;
-        result.enginesEach = 0;
-        result.orderServersEach = 0;
+        result.routersPerDataCentre = routersPerDataCentre;
+        result.enginesPerDataCentre = 0;
+        result.orderServersPerDataCentre = 0;
         return result;
     }
 
@@ -104,14 +104,14 @@
 BOOST_AUTO_TEST_CASE(a_change_with_a_lost_or_delayed_store_answer_is_accepted_once)
 {
     auto fleet = configured_fleet();
-    const auto before = fleet.all.sequenceAt(fleet.all.routers()[0]);
+    const auto before = fleet.all.configurationSequenceAt(fleet.all.routers()[0]);
     fleet.all.platform().setFaults(R"([{"kind":"lose_answer","match":"configuration_change/","count":1}])");
     BOOST_TEST(fleet.all.apply(fleet.all.routers()[0], profileText("lost")) == 0);
     fleet.all.platform().setFaults(R"([{"kind":"land_late","ms":500,"match":"configuration_change/","count":1}])");
     BOOST_TEST(fleet.all.apply(fleet.all.routers()[1], profileText("late")) == 0);
     BOOST_TEST(fleet.allRoutersHave("lost"));
     BOOST_TEST(fleet.allRoutersHave("late"));
-    BOOST_TEST(fleet.all.sequenceAt(fleet.all.routers()[0]) == before + 2);
+    BOOST_TEST(fleet.all.configurationSequenceAt(fleet.all.routers()[0]) == before + 2);
     fleet.all.platform().setFaults(R"([{"kind":"outage"}])");
     BOOST_TEST(fleet.all.apply(fleet.all.routers()[0], profileText("refused")) == 6);
 }
@@ -125,14 +125,14 @@
     BOOST_TEST(fleet.all.command(routers[0], { "delete", "profile", "newest" }) == 0);
     BOOST_TEST(fleet.all.apply(routers[0], profileText("latest")) == 0);
     BOOST_TEST(fleet.allRoutersHave("latest"));
-    const auto sequence = fleet.all.sequenceAt(routers[0]);
+    const auto sequence = fleet.all.configurationSequenceAt(routers[0]);
     for (const auto *faults : { R"([{"kind":"outage"}])", R"([{"kind":"stale_reads","behind":2}])" }) {
         fleet.all.platform().setFaults(faults);
         fleet.all.restart(routers[1], false);
         // A router becomes ready only with the newest change that its peers know.
         const auto ready = waitUntil(startTimeoutMs, [&] { return fleet.isReady(1); });
         BOOST_TEST(ready, faults);
-        BOOST_TEST(fleet.all.sequenceAt(routers[1]) == sequence);
+        BOOST_TEST(fleet.all.configurationSequenceAt(routers[1]) == sequence);
         BOOST_TEST(fleet.hasProfile(1, "latest"));
         BOOST_TEST(!fleet.hasProfile(1, "newest"));
         fleet.all.platform().setFaults("[]");
@@ -150,11 +150,11 @@
     BOOST_TEST(fleet.all.command(routers[3], { "delete", "profile", "after-silence" }) == 0);
     BOOST_TEST(fleet.allRoutersHave("after-silence", false));
     fleet.all.platform().setFaults(R"([{"kind":"stale_reads","behind":1}])");
-    const auto sequence = fleet.all.sequenceAt(routers[0]);
+    const auto sequence = fleet.all.configurationSequenceAt(routers[0]);
     // The wait is long enough for a watch to reconnect and to get stale reads.
     const auto reverted = waitUntil(propagationLimitMs, [&] {
         for (auto &router : routers) {
-            if (fleet.all.sequenceAt(router) < sequence) {
+            if (fleet.all.configurationSequenceAt(router) < sequence) {
                 return true;
             }
         }
@@ -172,11 +172,11 @@
     BOOST_TEST(fleet.all.apply(routers[0], profileText("meanwhile")) == 0);
     BOOST_TEST(fleet.all.command(routers[0], { "delete", "profile", "meanwhile" }) == 0);
     BOOST_TEST(fleet.all.apply(routers[0], profileText("then")) == 0);
-    const auto sequence = fleet.all.sequenceAt(routers[0]);
+    const auto sequence = fleet.all.configurationSequenceAt(routers[0]);
     routers[1].process->signal(SIGCONT);
     BOOST_TEST(fleet.allRoutersHave("then"));
     BOOST_TEST(fleet.allRoutersHave("meanwhile", false));
-    BOOST_TEST(fleet.all.sequenceAt(routers[0]) == sequence);
+    BOOST_TEST(fleet.all.configurationSequenceAt(routers[0]) == sequence);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/process/gateway/gateway_path_test.cpp
+++ b/tests/process/gateway/gateway_path_test.cpp
@@ -41,7 +41,7 @@
     const auto body = std::string(60'000, 'x');
     const auto answer = fleet.call(router, "/post/a/b?c=d", "r-1", "POST", "key-alpha", body);
     BOOST_TEST(answer.status == 200U);
-    BOOST_TEST(answer.whole);
+    BOOST_TEST(answer.complete);
     BOOST_TEST(fieldOf(answer, "method") == "POST");
     BOOST_TEST(fieldOf(answer, "path") == "/post/a/b");
     BOOST_TEST(fieldOf(answer, "body_hash") == std::to_string(hash64(body)));
@@ -54,8 +54,8 @@
     BOOST_TEST(fleet.call(router, "/post/", "r-3", "POST", "").status == 401U);
     BOOST_TEST(fleet.call(router, "/nowhere/", "r-4").status == 404U);
     BOOST_TEST(fleet.call(router, "/open/x", "r-5", "GET", "").status == 200U);
-    BOOST_TEST(fleet.countRuns("r-1") == 1);
-    BOOST_TEST(fleet.countRuns("r-2") + fleet.countRuns("r-3") + fleet.countRuns("r-4") == 0);
+    BOOST_TEST(fleet.countExecutions("r-1") == 1);
+    BOOST_TEST(fleet.countExecutions("r-2") + fleet.countExecutions("r-3") + fleet.countExecutions("r-4") == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_caller_cannot_set_the_headers_of_the_router)
@@ -87,11 +87,11 @@
     // Each server breaks off one stream, so the first attempt and the retry fail.
     const auto first = fleet.call(router, "/talk/stream", "r-1");
     BOOST_TEST(first.status == 200U);
-    BOOST_TEST(fleet.countRuns("r-1") == 2);
+    BOOST_TEST(fleet.countExecutions("r-1") == 2);
     // The route allows two attempts.
-    BOOST_TEST(!first.whole);
+    BOOST_TEST(!first.complete);
     const auto second = fleet.call(router, "/talk/stream", "r-2");
-    BOOST_TEST(second.whole);
+    BOOST_TEST(second.complete);
     BOOST_TEST(second.body == wholeStream());
     fleet.servers().front()->setFaults(R"([{"kind":"die","events":3,"count":1}])");
     fleet.servers().back()->setFaults(R"([])");
@@ -99,9 +99,9 @@
     for (auto call = 0; call < 6 && resumed == 0; ++call) {
         const auto id = "again-" + std::to_string(call);
         const auto answer = fleet.call(router, "/talk/stream", id);
-        BOOST_TEST(answer.whole);
+        BOOST_TEST(answer.complete);
         BOOST_TEST(answer.body == wholeStream());
-        resumed += fleet.countRuns(id) - 1;
+        resumed += fleet.countExecutions(id) - 1;
     }
     BOOST_TEST(resumed == 1);
 }
@@ -111,8 +111,8 @@
     auto fleet = gateway_fleet({ .routers = 1, .servers = 1 });
     fleet.servers().front()->setFaults(R"([{"kind":"die","events":4,"count":1}])");
     const auto answer = fleet.call(fleet.routers().front(), "/once/stream", "r-1");
-    BOOST_TEST(!answer.whole);
-    BOOST_TEST(fleet.countRuns("r-1") == 1);
+    BOOST_TEST(!answer.complete);
+    BOOST_TEST(fleet.countExecutions("r-1") == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_lost_answer_is_not_reported_as_not_executed)
@@ -125,7 +125,7 @@
     const auto answer = fleet.call(router, "/post/x", "r-1", "POST");
     BOOST_TEST((answer.status == 502U || answer.status == 504U));
     BOOST_TEST(answer.headers.count("retry-after") == 0U);
-    BOOST_TEST(fleet.countRuns("r-1") == 1);
+    BOOST_TEST(fleet.countExecutions("r-1") == 1);
     // A request that may be executed several times is retried at the other server.
     const auto retried = fleet.call(router, "/read/x", "r-2");
     BOOST_TEST(retried.status == 200U);
@@ -140,7 +140,7 @@
     const auto answer = fleet.call(router, "/post/x", "r-1", "POST");
     BOOST_TEST((answer.status == 429U || answer.status == 503U));
     BOOST_TEST(std::stod(answer.headers.at("retry-after")) > 0);
-    BOOST_TEST(fleet.countRuns("r-1") == 0);
+    BOOST_TEST(fleet.countExecutions("r-1") == 0);
     fleet.servers()[1]->setFaults("[]");
     for (auto call = 0; call < 4; ++call) {
         BOOST_TEST(fleet.call(router, "/read/x", "again-" + std::to_string(call)).status == 200U);
@@ -177,7 +177,7 @@
     for (const auto &router : fleet.routers()) {
         const auto answer = fleet.call(router, "/read/x", "away-" + router.name, "GET", "key-new");
         BOOST_TEST(answer.status == 503U);
-        BOOST_TEST(fleet.countRuns("away-" + router.name) == 0);
+        BOOST_TEST(fleet.countExecutions("away-" + router.name) == 0);
         BOOST_TEST(fleet.call(router, "/open/x", "open-" + router.name, "GET", "").status == 200U);
         BOOST_TEST(!fleet.isReady(router));
     }
@@ -201,7 +201,7 @@
     auto fleet = gateway_fleet({ .routers = 1, .revocationMs = 30'000 });
     const auto &router = fleet.routers().front();
     sleepMs(4'000);
-    BOOST_TEST(fleet.logOf(router).find("event=store_lost") == std::string::npos);
+    BOOST_TEST(fleet.readLog(router).find("event=store_lost") == std::string::npos);
     // The entry was removed by its server; it did not expire during an outage of the store.
     httpCall(fleet.store().address(), { "DELETE", "/v1/objects/servers/server-0", {}, "" });
     sleepMs(500);
@@ -240,7 +240,7 @@
     router.process->signal(SIGCONT);
     caller.join();
     BOOST_TEST((status == 503U || status == 401U));
-    BOOST_TEST(fleet.countRuns("woken") == 0);
+    BOOST_TEST(fleet.countExecutions("woken") == 0);
 }
 
 BOOST_AUTO_TEST_CASE(running_requests_finish_during_a_stop_and_a_reload_does_not_disturb_requests)
@@ -258,10 +258,10 @@
     BOOST_TEST(!fleet.isReady(router));
     BOOST_TEST(fleet.call(router, "/read/x", "still-served").status == 200U);
     caller.join();
-    BOOST_TEST(answer.whole);
+    BOOST_TEST(answer.complete);
     BOOST_TEST(answer.body == wholeStream());
     BOOST_TEST(router.process->waitForExit(8'000).value_or(-1) == 0);
-    const auto log = fleet.logOf(router);
+    const auto log = fleet.readLog(router);
     for (const auto *event : { "event=started", "event=reload", "event=stop_begins", "event=stopped" }) {
         BOOST_TEST(log.find(event) != std::string::npos, event);
     }
@@ -283,7 +283,7 @@
                 const auto answer = fleet.call(router, "/talk/stream", id);
                 const auto elapsed = std::chrono::steady_clock::now() - startedAt;
                 BOOST_TEST(answer.body == wholeStream());
-                BOOST_TEST(fleet.countRuns(id) == 1);
+                BOOST_TEST(fleet.countExecutions(id) == 1);
                 // Twelve events at intervals of 5 ms, and a wait for the dispatcher that is far below the latency
                 // objective.
                 BOOST_TEST((elapsed < std::chrono::milliseconds(500)));
@@ -323,7 +323,7 @@
     BOOST_TEST(fleet.call(router, "/read/x", "present").status == 200U);
     sleepMs(300);
     for (auto caller = 0; caller < 5; ++caller) {
-        BOOST_TEST(fleet.countRuns("late-" + std::to_string(caller)) == 0);
+        BOOST_TEST(fleet.countExecutions("late-" + std::to_string(caller)) == 0);
     }
 }
 
@@ -351,7 +351,7 @@
         const auto status = statuses[static_cast<std::size_t>(caller)];
         BOOST_TEST((status == 200 || status == 503));
         // Status 503 states that the request was not executed.
-        BOOST_TEST(fleet.countRuns("behind-" + std::to_string(caller)) == (status == 200 ? 1 : 0));
+        BOOST_TEST(fleet.countExecutions("behind-" + std::to_string(caller)) == (status == 200 ? 1 : 0));
     }
     BOOST_TEST(waitUntil(3'000, [&] { return fleet.call(router, "/read/x", "afterwards").status == 200; }));
 }
@@ -366,10 +366,10 @@
                         { "Authorization", "Bearer key-alpha" } };
     request.timeout = std::chrono::milliseconds(500);
     httpCall(fleet.routers().front().callers, request);
-    BOOST_TEST(waitUntil(1'500, [&] { return fleet.countRuns("r-1", "cancelled") == 1; }));
+    BOOST_TEST(waitUntil(1'500, [&] { return fleet.countExecutions("r-1", "cancelled") == 1; }));
     // The disconnect is not counted as a failure of the server.
     sleepMs(300);
-    const auto log = fleet.logOf(fleet.routers().front());
+    const auto log = fleet.readLog(fleet.routers().front());
     BOOST_TEST(log.find("end=caller_left") != std::string::npos);
     BOOST_TEST(log.find("event=server_failed") == std::string::npos);
     BOOST_TEST(log.find("event=handler_failed") == std::string::npos);
--- a/tests/process/gateway/store_relay_test.cpp
+++ b/tests/process/gateway/store_relay_test.cpp
@@ -15,7 +15,7 @@
 {
     auto watching = std::vector<router_handle *>();
     for (auto &router : fleet.routers()) {
-        const auto log = fleet.logOf(router);
+        const auto log = fleet.readLog(router);
         const auto started = log.rfind("event=store_watch watches=yes");
         const auto stopped = log.rfind("event=store_watch watches=no");
         if (started != std::string::npos && (stopped == std::string::npos || stopped < started)) {
@@ -101,7 +101,7 @@
         const auto id = "woken-" + std::to_string(++number);
         const auto status = fleet.call(*router, "/read/x", id).status;
         BOOST_TEST((status == 401 || status == 503));
-        BOOST_TEST(fleet.countRuns(id) == 0);
+        BOOST_TEST(fleet.countExecutions(id) == 0);
     }
 }
 
--- a/tests/process/order/order_faults_test.cpp
+++ b/tests/process/order/order_faults_test.cpp
@@ -15,16 +15,16 @@
 /// A fleet of two data centres with order servers, and helpers that place and count orders.
 struct order_fleet
 {
-    explicit order_fleet(int routersEach = 1, int callMs = 0)
-        : instances(plan(routersEach, callMs))
+    explicit order_fleet(int routersPerDataCentre = 1, int callMs = 0)
+        : instances(plan(routersPerDataCentre, callMs))
     {
     }
 
-    static auto plan(int routersEach, int callMs) -> fleet_plan
+    static auto plan(int routersPerDataCentre, int callMs) -> fleet_plan
     {
         auto result = fleet_plan();
-        result.routersEach = routersEach;
-        result.enginesEach = 0;
+        result.routersPerDataCentre = routersPerDataCentre;
+        result.enginesPerDataCentre = 0;
         result.callMs = callMs;
         return result;
     }
--- a/tests/process/peer/peer_faults_test.cpp
+++ b/tests/process/peer/peer_faults_test.cpp
@@ -71,7 +71,7 @@
 {
     auto relays = peer_relays();
     auto plan = fleet_plan();
-    plan.peerAddressSeen = [&](const std::string &address) {
+    plan.advertisedPeerAddress = [&](const std::string &address) {
         return relays.addressFor(address);
     };
     auto all = fleet(plan);
@@ -96,7 +96,7 @@
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
-    plan.routersEach = 3;
+    plan.routersPerDataCentre = 3;
     auto all = fleet(plan);
     BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 3); }));
     auto &dispatcher = busiestDispatcher(all);
@@ -116,7 +116,7 @@
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
-    plan.routersEach = 3;
+    plan.routersPerDataCentre = 3;
     auto all = fleet(plan);
     BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 3); }));
     auto &dispatcher = busiestDispatcher(all);
@@ -142,12 +142,12 @@
     auto all = fleet();
     BOOST_TEST(waitUntil(timeoutMs, [&] { return allKnowRouters(all, 2); }));
     auto &restarted = all.routers().front();
-    const auto sequence = all.sequenceAt(all.routers().back());
+    const auto sequence = all.configurationSequenceAt(all.routers().back());
     all.platform().setFaults(R"([{"kind":"outage"}])");
     restarted.process->signal(SIGKILL);
     BOOST_TEST(restarted.process->waitForExit(timeoutMs).has_value());
     all.restart(restarted, false);
-    BOOST_TEST(waitUntil(timeoutMs, [&] { return all.sequenceAt(restarted) == sequence; }));
+    BOOST_TEST(waitUntil(timeoutMs, [&] { return all.configurationSequenceAt(restarted) == sequence; }));
     BOOST_TEST(waitUntil(timeoutMs, [&] {
         return httpCall(restarted.operators, { "GET", "/readyz", {}, "" }).status == 200;
     }));
--- a/tests/process/router/bad_input_test.cpp
+++ b/tests/process/router/bad_input_test.cpp
@@ -144,7 +144,7 @@
     BOOST_TEST(httpCall(router.operators, { "GET", "/v1/status", {}, "" }).status == 401U);
     auto output = std::string();
     BOOST_TEST(all.apply(router, "[[service]]\nname = \"x\"\nkind = \"model\"\nprofile = \"absent\"\n") != 0);
-    BOOST_TEST(all.sequenceAt(router) == 1);
+    BOOST_TEST(all.configurationSequenceAt(router) == 1);
     BOOST_TEST(servesRequests(all));
 }
 
--- a/tests/process/router/whole_path_test.cpp
+++ b/tests/process/router/whole_path_test.cpp
@@ -28,7 +28,7 @@
         const auto prompt = "status of coach 7 at " + router.name + " tokens=30";
         BOOST_TEST(answerText(all.chat(router, "alpha", prompt)) == expectedText(prompt));
         const auto streamed = all.chat(router, "beta", prompt, true);
-        BOOST_TEST(streamed.whole);
+        BOOST_TEST(streamed.complete);
         BOOST_TEST(streamEnded(streamed.body));
         BOOST_TEST(streamedText(streamed.body) == expectedText(prompt));
         const auto review = all.chat(router, "gamma", prompt, false, "review");
@@ -88,7 +88,7 @@
     BOOST_TEST(waitUntil(5'000, hasStarted));
     router.process->signal(SIGTERM);
     caller.join();
-    BOOST_TEST(answer.whole);
+    BOOST_TEST(answer.complete);
     BOOST_TEST(streamedText(answer.body) == expectedText(prompt));
     BOOST_TEST(router.process->waitForExit(15'000).value_or(-1) == 0);
 }
--- a/tests/process/share/weighted_share_test.cpp
+++ b/tests/process/share/weighted_share_test.cpp
@@ -126,8 +126,8 @@
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
-    plan.routersEach = 2;
-    plan.enginesEach = 1;
+    plan.routersPerDataCentre = 2;
+    plan.enginesPerDataCentre = 1;
     plan.slots = 6;
     plan.tokenMs = 3;
     auto testFleet = fleet(plan);
@@ -158,8 +158,8 @@
 {
     auto plan = fleet_plan();
     plan.dataCentres = { "north" };
-    plan.routersEach = 2;
-    plan.enginesEach = 1;
+    plan.routersPerDataCentre = 2;
+    plan.enginesPerDataCentre = 1;
     plan.slots = 2;
     plan.tokenMs = 3;
     auto testFleet = fleet(plan);
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,4 +1,6 @@
-// Plays runs of real routers under randomized faults and prints each broken promise with its seed.
+// Soak test: runs real router processes under randomized faults, one run for each seed, and prints each violated
+// guarantee
+// ("broken promise" in the output) with the seed of its run.
 
 #include "soak_run.h"
 
@@ -11,6 +13,7 @@
 
 using namespace marjoramloom::soak;
 
+/// Options of the command line.
 struct command_line
 {
     int firstSeed = 1;
@@ -25,7 +28,7 @@
     const poptOption options[] = {
         { "seed", 's', POPT_ARG_INT, &line.firstSeed, 0, "seed of the first run", "N" },
         { "runs", 'n', POPT_ARG_INT, &line.runs, 0, "runs, with seeds one after the other", "N" },
-        { "seconds", 't', POPT_ARG_INT, &line.seconds, 0, "time over which faults begin, a run", "N" },
+        { "seconds", 't', POPT_ARG_INT, &line.seconds, 0, "time over which faults begin in each run", "N" },
         { "routers", 'r', POPT_ARG_INT, &line.options.routers, 0, "router processes", "N" },
         { "servers", 'b', POPT_ARG_INT, &line.options.servers, 0, "backend server processes", "N" },
         { "callers", 'c', POPT_ARG_INT, &line.options.callers, 0, "callers at once", "N" },
@@ -45,7 +48,7 @@
 {
     auto served = std::size_t(0);
     for (const auto &call : history.outcomes) {
-        served += call.status == 200 && call.whole ? 1 : 0;
+        served += call.status == 200 && call.complete ? 1 : 0;
     }
     return served;
 }
@@ -63,18 +66,18 @@
         line->options.seed = static_cast<std::uint64_t>(line->firstSeed + run);
         line->options.faultTime = std::chrono::seconds(line->seconds);
         auto soak = soak_run(line->options);
-        const auto violations = soak.play();
+        const auto violations = soak.execute();
         std::cout << "seed " << line->options.seed << ": " << soak.history().outcomes.size() << " requests, "
                   << servedOf(soak.history()) << " served, " << violations.size() << " broken promises\n";
         for (const auto &violation : violations) {
             std::cout << "  " << violation << "\n";
         }
         if (!violations.empty()) {
-            // MARJORAMLOOM_KEEP leaves the logs in place.
+            // The logs are deleted at the end unless MARJORAMLOOM_KEEP is set.
             std::cout << "  logs: " << soak.folder() << "\n";
-            for (const auto &fault : drawFaults(line->options.seed, line->options.faultTime)) {
+            for (const auto &fault : generateFaults(line->options.seed, line->options.faultTime)) {
                 std::cout << "  fault " << marjoramloom::nameOf(fault.kind) << " at " << fault.at.count() << " ms for "
-                          << fault.lasts.count() << " ms, target " << fault.target << "\n";
+                          << fault.duration.count() << " ms, target " << fault.target << "\n";
             }
         }
         std::cout << std::flush;
--- a/tests/soak/soak_checks.cpp
+++ b/tests/soak/soak_checks.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-/// A revoked key must be refused this long after the store's acknowledgement.
+/// A revoked key must be refused from this long after the store's acknowledgement on.
 constexpr auto revocationLimit = milliseconds(5'000);
-/// A leaving server gets nothing new after this.
+/// A leaving server must get no new requests from this long after its entry was written on.
 constexpr auto leavingLimit = milliseconds(3'000);
-/// A disturbance may show for this long after its end.
-constexpr auto disturbanceTail = milliseconds(3'000);
-/// The fleet serves as before this long after the last fault.
+/// An unplanned fault may still have effects for this long after its end.
+constexpr auto disturbanceMargin = milliseconds(3'000);
+/// The fleet must serve normally again from this long after the last fault on.
 constexpr auto recoveryLimit = milliseconds(12'000);
-/// Part of the requests that must be served then.
-constexpr double recoveredPart = 0.9;
-/// Events of the stand-in's streams.
+/// Fraction of the requests that must be served after recoveryLimit.
+constexpr double minServedFraction = 0.9;
+/// Number of events in each stream of the stand-ins.
 constexpr auto streamLength = 12;
 
-auto wholeStream() -> std::string
+auto expectedStream() -> std::string
 {
     auto text = std::string();
     for (auto number = 1; number <= streamLength; ++number) {
@@ -30,30 +30,31 @@
     return text;
 }
 
-/// Runs of each request, by its id.
-auto countRuns(const run_history &history) -> std::map<std::string, int>
+/// Counts the executions of each request, by request id.
+auto countExecutions(const run_history &history) -> std::map<std::string, int>
 {
-    auto runs = std::map<std::string, int>();
+    auto executions = std::map<std::string, int>();
     for (const auto &[server, entries] : history.records) {
         for (const auto &entry : entries) {
             if (entry.at("state").as_string() == "started") {
-                ++runs[std::string(entry.at("request_id").as_string())];
+                ++executions[std::string(entry.at("request_id").as_string())];
             }
         }
     }
-    return runs;
+    return executions;
 }
 
-auto mayRepeat(const outcome &call) -> bool
+/// Whether routers may send the request to a server more than once.
+auto isRepeatable(const outcome &call) -> bool
 {
     return call.path.starts_with("/read/") || call.path.starts_with("/talk/");
 }
 
-/// Whether the body is the whole answer to this very request.
-auto isOwnAnswer(const outcome &call) -> bool
+/// Whether the body is the complete answer to this request and not that to another one.
+auto isExpectedAnswer(const outcome &call) -> bool
 {
     if (call.path.ends_with("stream")) {
-        return call.body == wholeStream();
+        return call.body == expectedStream();
     }
     auto error = boost::system::error_code();
     const auto parsed = boost::json::parse(call.body, error);
@@ -64,87 +65,89 @@
 auto describe(const outcome &call, std::string_view what) -> std::string
 {
     return std::string(what) + ": request " + call.id + " " + call.path + " at router " + std::to_string(call.router)
-        + ", " + std::to_string(call.begun.count()) + " to " + std::to_string(call.ended.count()) + " ms, status "
+        + ", " + std::to_string(call.sentAt.count()) + " to " + std::to_string(call.endedAt.count()) + " ms, status "
         + std::to_string(call.status);
 }
 
-auto isDisturbed(const run_history &history, const span &when) -> bool
+/// Whether an unplanned fault overlaps \p when, so that the guarantees for planned operations do not apply.
+auto isDisturbed(const run_history &history, const time_span &when) -> bool
 {
     return std::any_of(history.disturbances.begin(), history.disturbances.end(),
-                       [&](const auto &fault) { return when.touches(fault, disturbanceTail); });
+                       [&](const auto &fault) { return when.overlaps(fault, disturbanceMargin); });
 }
 
-auto checkAnswers(const run_history &history, std::vector<std::string> &broken) -> void
+auto checkAnswers(const run_history &history, std::vector<std::string> &violations) -> void
 {
-    const auto runs = countRuns(history);
+    const auto executions = countExecutions(history);
     for (const auto &call : history.outcomes) {
-        const auto found = runs.find(call.id);
-        const auto count = found == runs.end() ? 0 : found->second;
-        if (call.status == 200 && call.whole && !isOwnAnswer(call)) {
-            broken.push_back(describe(call, "not the whole answer to this request"));
+        const auto found = executions.find(call.id);
+        const auto count = found == executions.end() ? 0 : found->second;
+        if (call.status == 200 && call.complete && !isExpectedAnswer(call)) {
+            violations.push_back(describe(call, "not the whole answer to this request"));
         }
-        if (!mayRepeat(call) && count > 1) {
-            broken.push_back(describe(call, "ran more than once"));
+        if (!isRepeatable(call) && count > 1) {
+            violations.push_back(describe(call, "ran more than once"));
         }
-        if ((call.status == 429 || call.status == 503) && count > 0 && !mayRepeat(call)) {
-            broken.push_back(describe(call, "refused as not run, and ran"));
+        if ((call.status == 429 || call.status == 503) && count > 0 && !isRepeatable(call)) {
+            violations.push_back(describe(call, "refused as not run, and ran"));
         }
         const auto revoked = history.revokedAt.find(call.key);
-        if (revoked != history.revokedAt.end() && call.begun > revoked->second + revocationLimit && count > 0) {
-            broken.push_back(describe(call, "ran with a revoked key"));
+        if (revoked != history.revokedAt.end() && call.sentAt > revoked->second + revocationLimit && count > 0) {
+            violations.push_back(describe(call, "ran with a revoked key"));
         }
     }
 }
 
-auto checkLeavingServers(const run_history &history, std::vector<std::string> &broken) -> void
+auto checkLeavingServers(const run_history &history, std::vector<std::string> &violations) -> void
 {
-    auto begun = std::map<std::string, const outcome *>();
+    auto callsById = std::map<std::string, const outcome *>();
     for (const auto &call : history.outcomes) {
-        begun.emplace(call.id, &call);
+        callsById.emplace(call.id, &call);
     }
-    for (const auto &[server, span] : history.leaving) {
-        if (isDisturbed(history, span)) {
+    for (const auto &[server, drain] : history.leaving) {
+        if (isDisturbed(history, drain)) {
             continue;
         }
         for (const auto &entry : history.records.at(server)) {
-            const auto call = begun.find(std::string(entry.at("request_id").as_string()));
-            if (call != begun.end() && call->second->begun > span.from + leavingLimit
-                && call->second->begun < span.until) {
-                broken.push_back(describe(*call->second, "reached the leaving server " + server));
+            const auto call = callsById.find(std::string(entry.at("request_id").as_string()));
+            if (call != callsById.end() && call->second->sentAt > drain.from + leavingLimit
+                && call->second->sentAt < drain.until) {
+                violations.push_back(describe(*call->second, "reached the leaving server " + server));
             }
         }
     }
 }
 
-auto checkStops(const run_history &history, std::vector<std::string> &broken) -> void
+auto checkStops(const run_history &history, std::vector<std::string> &violations) -> void
 {
-    const auto runs = countRuns(history);
+    const auto executions = countExecutions(history);
     for (const auto &[router, stop] : history.stops) {
         if (isDisturbed(history, stop)) {
             continue;
         }
         for (const auto &call : history.outcomes) {
-            const auto isHeld = call.router == router && call.ended >= stop.from && call.begun <= stop.until;
-            // A request that crosses the end of its connection was not read, and so did not run.
-            if (isHeld && !call.whole && runs.contains(call.id)) {
-                broken.push_back(describe(call, "cut off by a planned stop"));
+            const auto overlapsStop = call.router == router && call.endedAt >= stop.from && call.sentAt <= stop.until;
+            // A request that arrives while the router closes the connection is not read and thus not executed. It is no
+            // violation.
+            if (overlapsStop && !call.complete && executions.contains(call.id)) {
+                violations.push_back(describe(call, "cut off by a planned stop"));
             }
         }
     }
 }
 
-auto checkRecovery(const run_history &history, std::vector<std::string> &broken) -> void
+auto checkRecovery(const run_history &history, std::vector<std::string> &violations) -> void
 {
-    auto asked = 0;
+    auto sent = 0;
     auto served = 0;
     for (const auto &call : history.outcomes) {
-        if (call.begun > history.faultsEnd + recoveryLimit && !history.revokedAt.contains(call.key)) {
-            ++asked;
-            served += call.status == 200 && call.whole ? 1 : 0;
+        if (call.sentAt > history.faultsEnd + recoveryLimit && !history.revokedAt.contains(call.key)) {
+            ++sent;
+            served += call.status == 200 && call.complete ? 1 : 0;
         }
     }
-    if (asked == 0 || served < recoveredPart * asked) {
-        broken.push_back("not recovered: " + std::to_string(served) + " of " + std::to_string(asked) + " served");
+    if (sent == 0 || served < minServedFraction * sent) {
+        violations.push_back("not recovered: " + std::to_string(served) + " of " + std::to_string(sent) + " served");
     }
 }
 
@@ -152,12 +155,12 @@
 
 auto findViolations(const run_history &history) -> std::vector<std::string>
 {
-    auto broken = std::vector<std::string>();
-    checkAnswers(history, broken);
-    checkLeavingServers(history, broken);
-    checkStops(history, broken);
-    checkRecovery(history, broken);
-    return broken;
+    auto violations = std::vector<std::string>();
+    checkAnswers(history, violations);
+    checkLeavingServers(history, violations);
+    checkStops(history, violations);
+    checkRecovery(history, violations);
+    return violations;
 }
 
 } // namespace marjoramloom::soak
--- a/tests/soak/soak_checks.h
+++ b/tests/soak/soak_checks.h
@@ -10,46 +10,48 @@
 
 using std::chrono::milliseconds;
 
-/// One request of a caller and what came of it. Times are since the begin of the run.
+/// One request of a caller and its result. Times are relative to the start of the run.
 struct outcome
 {
     std::string id;
     std::string path;
     std::string key;
     std::size_t router = 0;
-    milliseconds begun{ 0 };
-    milliseconds ended{ 0 };
-    unsigned status = 0; ///< 0 where no head came.
-    bool whole = false;
+    milliseconds sentAt{ 0 };
+    milliseconds endedAt{ 0 };
+    unsigned status = 0; ///< 0 if no response header was received.
+    bool complete = false;
     std::string body;
 };
 
-/// A span in which something held, such as a key being revoked.
-struct span
+/// A period of a run, such as that in which a server was leaving.
+struct time_span
 {
     milliseconds from{ 0 };
     milliseconds until = milliseconds::max();
 
-    /// Whether \p other overlaps this one, with \p margin before it.
-    [[nodiscard]] auto touches(const span &other, milliseconds margin) const -> bool
+    /// Whether \p other, extended by \p margin at its end, overlaps this span.
+    [[nodiscard]] auto overlaps(const time_span &other, milliseconds margin) const -> bool
     {
         return other.from <= until && (other.until == milliseconds::max() || other.until + margin >= from);
     }
 };
 
-/// What the checks of a run need to know of it.
+/// Record of a run: requests, executions and faults. Input of the checks.
 struct run_history
 {
     std::vector<outcome> outcomes;
-    std::map<std::string, std::vector<boost::json::object>> records; ///< By server, what it executed.
-    std::map<std::string, milliseconds> revokedAt; ///< By key, when the store acknowledged that it is gone.
-    std::multimap<std::string, span> leaving; ///< By server, from the acknowledged news until it came back.
-    std::multimap<std::size_t, span> stops; ///< By router, planned stops.
-    std::vector<span> disturbances; ///< Unplanned faults of any kind.
+    std::map<std::string, std::vector<boost::json::object>> records; ///< By server, its execution record.
+    std::map<std::string, milliseconds> revokedAt; ///< By key, when the store acknowledged its removal.
+    std::multimap<std::string, time_span> leaving; ///< By server, from the write of its draining entry to its return.
+    std::multimap<std::size_t, time_span> stops; ///< By router, its planned stops.
+    std::vector<time_span> disturbances; ///< Unplanned faults of routers, servers and the store.
     milliseconds faultsEnd{ 0 };
 };
 
-/// Everything that breaks a promise, one line each; empty where all were kept.
+/// Returns a line for each violated guarantee; empty if there are none. Checked are: answers are complete and belong to
+/// their request, non-repeatable requests are executed at most once and never if reported as not run, revoked keys and
+/// leaving servers get no new requests, planned stops interrupt no request, and the fleet recovers after the faults.
 auto findViolations(const run_history &history) -> std::vector<std::string>;
 
 } // namespace marjoramloom::soak
--- a/tests/soak/soak_plan.cpp
+++ b/tests/soak/soak_plan.cpp
@@ -10,20 +10,20 @@
 
 using std::chrono::milliseconds;
 
-/// Mean time between the begins of two faults; they last up to three times as long, so that two or three overlap.
-constexpr auto spacingMs = 1'200;
-constexpr auto shortestMs = 300;
-constexpr auto longestMs = 3'500;
-/// One fault in so many is followed by the same on the same target.
-constexpr auto seriesOneIn = 5;
+/// Mean time between the starts of two faults. Faults last up to three times as long, so that two or three overlap.
+constexpr auto meanSpacingMs = 1'200;
+constexpr auto minDurationMs = 300;
+constexpr auto maxDurationMs = 3'500;
+/// One fault in this many is repeated on the same target after its end.
+constexpr auto repeatOneIn = 5;
 
 } // namespace
 
-auto drawFaults(std::uint64_t seed, milliseconds length) -> std::vector<planned_fault>
+auto generateFaults(std::uint64_t seed, milliseconds length) -> std::vector<planned_fault>
 {
     auto random = boost::random::mt19937_64(seed);
-    const auto draw = [&](int least, int most) {
-        return boost::random::uniform_int_distribution<int>(least, most)(random);
+    const auto draw = [&](int minimum, int maximum) {
+        return boost::random::uniform_int_distribution<int>(minimum, maximum)(random);
     };
     constexpr auto kinds = static_cast<int>(enum_names<fault_kind>::table.size());
     auto faults = std::vector<planned_fault>();
@@ -32,14 +32,14 @@
         auto fault =
             planned_fault{ .kind = enum_names<fault_kind>::table[static_cast<std::size_t>(draw(0, kinds - 1))].value,
                            .at = at,
-                           .lasts = milliseconds(draw(shortestMs, longestMs)),
+                           .duration = milliseconds(draw(minDurationMs, maxDurationMs)),
                            .target = static_cast<std::uint32_t>(draw(0, 99)) };
         faults.push_back(fault);
-        if (draw(1, seriesOneIn) == 1) {
-            fault.at += fault.lasts + milliseconds(draw(0, shortestMs));
+        if (draw(1, repeatOneIn) == 1) {
+            fault.at += fault.duration + milliseconds(draw(0, minDurationMs));
             faults.push_back(fault);
         }
-        at += milliseconds(draw(0, 2 * spacingMs));
+        at += milliseconds(draw(0, 2 * meanSpacingMs));
     }
     std::stable_sort(faults.begin(), faults.end(),
                      [](const auto &left, const auto &right) { return left.at < right.at; });
--- a/tests/soak/soak_plan.h
+++ b/tests/soak/soak_plan.h
@@ -9,34 +9,36 @@
 
 namespace marjoramloom::soak {
 
+/// Faults and planned operations that a run injects.
 enum class fault_kind {
-    pauseRouter, ///< SIGSTOP, and SIGCONT at the end.
-    killRouter, ///< SIGKILL, and a new start at the end.
-    stopRouter, ///< SIGTERM, and a new start when the process has ended.
+    pauseRouter, ///< SIGSTOP; SIGCONT at the end.
+    killRouter, ///< SIGKILL; restart at the end.
+    stopRouter, ///< SIGTERM; restart when the process has exited.
     reloadRouter, ///< SIGHUP.
     storeOutage, ///< The store answers 503.
-    storeSilent, ///< One router's connections to the store go silent, new ones too.
-    storeReset, ///< All connections of one router to the store end.
-    serverPaused, ///< SIGSTOP of a backend server.
-    serverSilent, ///< Connections to a server go silent; new ones work.
-    serverAnswersLost, ///< What a server answers on connections open now is lost.
-    serverReset, ///< Connections to a server end.
-    serverLeaves, ///< A server says that it leaves, and comes back as another run at the end.
-    keyRevoked, ///< The key of an account is replaced.
-    configurationChange, ///< A new version that changes nothing.
+    storeSilent, ///< One router's connections to the store, also new ones, carry no more data.
+    storeReset, ///< All connections of one router to the store are reset.
+    serverPaused, ///< SIGSTOP of a backend server; SIGCONT at the end.
+    serverSilent, ///< Open connections to a server carry no more data; new ones work.
+    serverAnswersLost, ///< Answers of a server on open connections are lost; its requests arrive.
+    serverReset, ///< Connections to a server are reset.
+    serverLeaves, ///< A server is listed as draining; at the end it is listed as ready, as a new incarnation.
+    keyRevoked, ///< The key of a client account is replaced.
+    configurationChange, ///< A new configuration version with the same content is written.
 };
 
 /// One fault of a run.
 struct planned_fault
 {
     fault_kind kind = fault_kind::pauseRouter;
-    std::chrono::milliseconds at{ 0 };
-    std::chrono::milliseconds lasts{ 0 };
-    std::uint32_t target = 0; ///< Number of the router or server, taken modulo their count.
+    std::chrono::milliseconds at{ 0 }; ///< Start, from the start of the run.
+    std::chrono::milliseconds duration{ 0 };
+    std::uint32_t target = 0; ///< Index of the router or server, modulo their number.
 };
 
-/// Faults drawn from \p seed over \p length: some alone, some overlapping, some in series on one target.
-auto drawFaults(std::uint64_t seed, std::chrono::milliseconds length) -> std::vector<planned_fault>;
+/// Generates random faults that start within \p length, sorted by start: some alone, some overlapping, some repeated on
+/// one target. The same \p seed gives the same faults.
+auto generateFaults(std::uint64_t seed, std::chrono::milliseconds length) -> std::vector<planned_fault>;
 
 } // namespace marjoramloom::soak
 
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -1,6 +1,6 @@
 #include "soak_run.h"
 
-#include "support/kept_caller.h"
+#include "support/keep_alive_client.h"
 
 #include <boost/random/mersenne_twister.hpp>
 #include <boost/random/uniform_int_distribution.hpp>
@@ -11,15 +11,17 @@
 
 namespace {
 
-/// How long a caller waits for an answer.
+/// Time that a caller waits for an answer.
 constexpr auto callTimeout = milliseconds(4'000);
 constexpr auto pauseBetweenCalls = milliseconds(25);
-/// After the last fault the run goes on for the recovery limit of the checks and this long, to see the fleet serve.
-constexpr auto observedRecovery = milliseconds(14'500);
-/// A process that was asked to stop is given its grace time and a little more.
-constexpr auto stopLimitMs = 9'000;
+/// Time that the run continues after the last fault. It covers the recovery limit of the checks (recoveryLimit) and
+/// some time after it in which the fleet must serve.
+constexpr auto recoveryObservation = milliseconds(14'500);
+/// Time for a router to exit after SIGTERM: its grace period (graceSeconds) with a margin.
+constexpr auto stopTimeoutMs = 9'000;
 constexpr double graceSeconds = 4;
 
+/// Paths of the routes that the callers request; those that end with a slash are completed by the request id.
 constexpr std::array paths{ "/read/", "/post/", "/talk/stream", "/once/stream" };
 
 auto makeRequest(const outcome &call, bool posts) -> test::http_request
@@ -36,7 +38,8 @@
     return request;
 }
 
-auto isPlanned(fault_kind kind) -> bool
+/// Whether the fault is an operation during which the guarantees of the checks hold, not an unplanned failure.
+auto isPlannedOperation(fault_kind kind) -> bool
 {
     return kind == fault_kind::stopRouter || kind == fault_kind::reloadRouter || kind == fault_kind::serverLeaves
         || kind == fault_kind::keyRevoked || kind == fault_kind::configurationChange;
@@ -55,15 +58,15 @@
     plan.servers = m_options.servers;
     plan.callMs = 5;
     plan.graceSeconds = graceSeconds;
-    plan.storeAddressSeen = [this](int router, const std::string &address) {
+    plan.storeAddressForRouter = [this](int router, const std::string &address) {
         m_storeAddress = address;
         return m_routerStores[static_cast<std::size_t>(router)]->addressFor(address);
     };
-    plan.serverAddressSeen = [this](const std::string &address) {
+    plan.listedServerAddress = [this](const std::string &address) {
         return m_relays.addressFor(address);
     };
     m_fleet = std::make_unique<test::gateway_fleet>(std::move(plan));
-    m_serverRuns.resize(static_cast<std::size_t>(m_options.servers));
+    m_serverIncarnations.resize(static_cast<std::size_t>(m_options.servers));
     m_start = std::chrono::steady_clock::now();
 }
 
@@ -77,22 +80,22 @@
     return m_history;
 }
 
-auto soak_run::now() const -> milliseconds
+auto soak_run::elapsed() const -> milliseconds
 {
     return std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - m_start);
 }
 
-auto soak_run::play() -> std::vector<std::string>
+auto soak_run::execute() -> std::vector<std::string>
 {
     auto callers = std::vector<std::thread>();
     for (auto caller = 0; caller < m_options.callers; ++caller) {
-        callers.emplace_back([this, caller] { callLoop(caller); });
+        callers.emplace_back([this, caller] { sendRequests(caller); });
     }
-    playFaults(drawFaults(m_options.seed, m_options.faultTime));
-    healAll();
-    m_history.faultsEnd = now();
-    std::this_thread::sleep_for(observedRecovery);
-    m_over = true;
+    injectFaults(generateFaults(m_options.seed, m_options.faultTime));
+    restoreFleet();
+    m_history.faultsEnd = elapsed();
+    std::this_thread::sleep_for(recoveryObservation);
+    m_finished = true;
     for (auto &caller : callers) {
         caller.join();
     }
@@ -102,8 +105,8 @@
     return findViolations(m_history);
 }
 
-/// Sends one request after the other through one router, by turns of every kind.
-auto soak_run::callLoop(int caller) -> void
+/// Body of a caller's thread: sends one request after the other, each to a random path, through one router.
+auto soak_run::sendRequests(int caller) -> void
 {
     auto random = boost::random::mt19937_64(m_options.seed * 1'000 + static_cast<std::uint64_t>(caller));
     const auto draw = [&](std::size_t count) {
@@ -111,8 +114,8 @@
     };
     const auto router = static_cast<std::size_t>(caller) % m_fleet->routers().size();
     const auto address = m_fleet->routers()[router].callers;
-    auto connection = test::kept_caller(address);
-    for (auto number = 0; !m_over; ++number) {
+    auto connection = test::keep_alive_client(address);
+    for (auto number = 0; !m_finished; ++number) {
         auto call = outcome();
         call.id = "c" + std::to_string(caller) + "-" + std::to_string(number);
         call.path = paths[draw(paths.size())];
@@ -120,14 +123,14 @@
         call.router = router;
         {
             const auto lock = std::lock_guard(m_mutex);
-            // Some callers go on with the first key, which may be revoked by then.
+            // One caller in four keeps using the initial key, also after it is revoked.
             call.key = caller % 4 == 0 ? "key-alpha" : (caller % 4 == 1 ? "key-beta" : m_alphaKey);
         }
-        call.begun = now();
+        call.sentAt = elapsed();
         const auto answer = connection.call(makeRequest(call, call.path.starts_with("/post/")));
-        call.ended = now();
+        call.endedAt = elapsed();
         call.status = answer.status;
-        call.whole = answer.whole;
+        call.complete = answer.complete;
         call.body = answer.body;
         const auto lock = std::lock_guard(m_mutex);
         m_history.outcomes.push_back(std::move(call));
@@ -135,32 +138,32 @@
     }
 }
 
-auto soak_run::playFaults(const std::vector<planned_fault> &faults) -> void
+auto soak_run::injectFaults(const std::vector<planned_fault> &faults) -> void
 {
     const auto endsLater = [](const planned_fault &left, const planned_fault &right) {
-        return left.at + left.lasts > right.at + right.lasts;
+        return left.at + left.duration > right.at + right.duration;
     };
     auto running = std::priority_queue<planned_fault, std::vector<planned_fault>, decltype(endsLater)>(endsLater);
     auto next = faults.begin();
     while (next != faults.end() || !running.empty()) {
         const auto endsFirst =
-            next == faults.end() || (!running.empty() && running.top().at + running.top().lasts < next->at);
-        const auto at = endsFirst ? running.top().at + running.top().lasts : next->at;
+            next == faults.end() || (!running.empty() && running.top().at + running.top().duration < next->at);
+        const auto at = endsFirst ? running.top().at + running.top().duration : next->at;
         std::this_thread::sleep_until(m_start + at);
         if (endsFirst) {
-            end(running.top());
+            endFault(running.top());
             running.pop();
         } else {
-            begin(*next);
+            beginFault(*next);
             running.push(*next++);
         }
     }
 }
 
-auto soak_run::begin(const planned_fault &fault) -> void
+auto soak_run::beginFault(const planned_fault &fault) -> void
 {
-    if (!isPlanned(fault.kind)) {
-        m_history.disturbances.push_back({ now(), now() + fault.lasts });
+    if (!isPlannedOperation(fault.kind)) {
+        m_history.disturbances.push_back({ elapsed(), elapsed() + fault.duration });
     }
     const auto router = fault.target % m_fleet->routers().size();
     const auto server = fault.target % m_fleet->servers().size();
@@ -169,7 +172,7 @@
     case fault_kind::killRouter:
     case fault_kind::stopRouter:
     case fault_kind::reloadRouter:
-        beginAtRouter(fault, router);
+        beginRouterFault(fault, router);
         break;
     case fault_kind::storeOutage:
         m_fleet->store().setFaults(R"([{"kind":"outage","match":"/v1/"},{"kind":"outage"}])");
@@ -185,7 +188,7 @@
     case fault_kind::serverAnswersLost:
     case fault_kind::serverReset:
     case fault_kind::serverLeaves:
-        beginAtServer(fault, server);
+        beginServerFault(fault, server);
         break;
     case fault_kind::keyRevoked:
         replaceKey();
@@ -196,12 +199,12 @@
     }
 }
 
-auto soak_run::beginAtRouter(const planned_fault &fault, std::size_t index) -> void
+auto soak_run::beginRouterFault(const planned_fault &fault, std::size_t index) -> void
 {
     auto &process = *m_fleet->routers()[index].process;
     switch (fault.kind) {
     case fault_kind::pauseRouter:
-        if (m_pauses[index]++ == 0) {
+        if (m_routerPauses[index]++ == 0) {
             process.signal(SIGSTOP);
         }
         break;
@@ -209,7 +212,7 @@
         process.signal(SIGKILL);
         break;
     case fault_kind::stopRouter:
-        m_history.stops.emplace(index, span{ now(), now() + milliseconds(stopLimitMs) });
+        m_history.stops.emplace(index, time_span{ elapsed(), elapsed() + milliseconds(stopTimeoutMs) });
         process.signal(SIGTERM);
         break;
     default:
@@ -218,7 +221,7 @@
     }
 }
 
-auto soak_run::beginAtServer(const planned_fault &fault, std::size_t index) -> void
+auto soak_run::beginServerFault(const planned_fault &fault, std::size_t index) -> void
 {
     auto &server = *m_fleet->servers()[index];
     switch (fault.kind) {
@@ -238,33 +241,33 @@
         m_relays.reset(server.address());
         break;
     default:
-        m_fleet->writeServer(index, "draining", m_serverRuns[index]);
-        m_history.leaving.emplace(server.name(), span{ now(), now() + fault.lasts });
+        m_fleet->writeServer(index, "draining", m_serverIncarnations[index]);
+        m_history.leaving.emplace(server.name(), time_span{ elapsed(), elapsed() + fault.duration });
         break;
     }
 }
 
-auto soak_run::end(const planned_fault &fault) -> void
+auto soak_run::endFault(const planned_fault &fault) -> void
 {
     const auto index = fault.target % m_fleet->routers().size();
     auto &router = m_fleet->routers()[index];
     const auto server = fault.target % m_fleet->servers().size();
     switch (fault.kind) {
     case fault_kind::pauseRouter:
-        if (--m_pauses[index] == 0) {
+        if (--m_routerPauses[index] == 0) {
             router.process->signal(SIGCONT);
         }
         break;
     case fault_kind::stopRouter:
         router.process->signal(SIGCONT);
-        m_pauses[index] = 0;
-        if (!router.process->waitForExit(stopLimitMs)) {
+        m_routerPauses[index] = 0;
+        if (!router.process->waitForExit(stopTimeoutMs)) {
             router.process->signal(SIGKILL);
         }
         m_fleet->start(router, false);
         break;
     case fault_kind::killRouter:
-        m_pauses[index] = 0;
+        m_routerPauses[index] = 0;
         m_fleet->start(router, false);
         break;
     case fault_kind::storeOutage:
@@ -279,14 +282,14 @@
         }
         break;
     case fault_kind::serverLeaves:
-        m_fleet->writeServer(server, "ready", ++m_serverRuns[server]);
+        m_fleet->writeServer(server, "ready", ++m_serverIncarnations[server]);
         break;
     default:
         break;
     }
 }
 
-auto soak_run::healAll() -> void
+auto soak_run::restoreFleet() -> void
 {
     m_fleet->store().setFaults("[]");
     for (auto &router : m_fleet->routers()) {
@@ -296,16 +299,16 @@
     }
 }
 
-/// Replaces the key of an account: the one before is revoked when the store acknowledges the new version.
+/// Replaces the key of account alpha. The old key counts as revoked when the store acknowledges the new version.
 auto soak_run::replaceKey() -> void
 {
-    const auto fresh = "key-alpha-" + std::to_string(++m_keys);
-    if (!m_fleet->writeConfiguration({ fresh })) {
+    const auto newKey = "key-alpha-" + std::to_string(++m_keyCount);
+    if (!m_fleet->writeConfiguration({ newKey })) {
         return;
     }
     const auto lock = std::lock_guard(m_mutex);
-    m_history.revokedAt.emplace(m_alphaKey, now());
-    m_alphaKey = fresh;
+    m_history.revokedAt.emplace(m_alphaKey, elapsed());
+    m_alphaKey = newKey;
 }
 
 } // namespace marjoramloom::soak
--- a/tests/standins/answer_text.h
+++ b/tests/standins/answer_text.h
@@ -18,7 +18,7 @@
     std::string content;
 };
 
-/// The pieces (one per token) that an engine generates for a request, and why it stops.
+/// Answer that an engine generates for a request: the text of each token, and the finish reason.
 struct generated_answer
 {
     std::vector<std::string> tokens;
@@ -34,14 +34,14 @@
     }
 };
 
-/// Words of every answer; some need escapes in JSON or look like parts of the protocol.
+/// Words that answers consist of. Some need escapes in JSON or look like parts of the event stream protocol.
 inline constexpr auto answerWords = std::array<std::string_view, 16>{
     "sensor", "coach", "the", "plate", "\"quoted\"", "caf\u00e9", "line\nbreak", "back\\slash",
     "lamp",   "hinge", "of",  "data:", "[DONE]",     "\t",        "outlet",      "\u12a0\u12f2\u1235",
 };
 
-/// Tokens asked for by `tokens=N` in \p text, or 0.
-inline auto askedTokens(std::string_view text) -> std::size_t
+/// Number of tokens requested by `tokens=N` in \p text, 0 if there is none.
+inline auto requestedTokens(std::string_view text) -> std::size_t
 {
     constexpr auto key = std::string_view("tokens=");
     const auto at = text.rfind(key);
@@ -49,27 +49,27 @@
                                         : std::strtoull(std::string(text.substr(at + key.size())).c_str(), nullptr, 10);
 }
 
-/// Whether the last message is the start of an answer that is to be continued.
+/// Whether the last message is the start of an answer, which the engine has to continue.
 inline auto hasAnswerPrefix(const std::vector<chat_message> &messages) -> bool
 {
     return !messages.empty() && messages.back().role == "assistant";
 }
 
-/// The whole answer to \p messages, without regard to a trailing assistant message: a pure function of the others.
-inline auto wholeAnswer(const std::vector<chat_message> &messages) -> generated_answer
+/// The complete answer to \p messages. It depends on the messages only, and ignores a trailing assistant message.
+inline auto completeAnswer(const std::vector<chat_message> &messages) -> generated_answer
 {
-    constexpr auto shortestAnswer = std::size_t(8);
-    constexpr auto lengthSpread = std::size_t(40);
+    constexpr auto minTokens = std::size_t(8);
+    constexpr auto tokenSpread = std::size_t(40);
     const auto count = messages.size() - (hasAnswerPrefix(messages) ? 1 : 0);
     auto seed = std::uint64_t(0);
-    auto asked = std::size_t(0);
+    auto requested = std::size_t(0);
     for (auto at = std::size_t(0); at < count; ++at) {
         seed = marjoramloom::hash64(messages[at].role + "\n" + messages[at].content, seed);
         if (messages[at].role == "user") {
-            asked = askedTokens(messages[at].content);
+            requested = requestedTokens(messages[at].content);
         }
     }
-    const auto length = asked != 0 ? asked : shortestAnswer + seed % lengthSpread;
+    const auto length = requested != 0 ? requested : minTokens + seed % tokenSpread;
     auto answer = generated_answer();
     for (auto at = std::size_t(0); at < length; ++at) {
         const auto draw = marjoramloom::hash64(std::to_string(at), seed);
@@ -79,11 +79,11 @@
     return answer;
 }
 
-/// What an engine generates for \p messages: the whole answer, or what follows a trailing assistant message that is a
-/// prefix of it, at most \p maxTokens tokens (0: no limit).
+/// The answer that an engine generates for \p messages: the complete answer, or the rest of it if a trailing assistant
+/// message holds its start; at most \p maxTokens tokens (0: no limit).
 inline auto expectedAnswer(const std::vector<chat_message> &messages, std::size_t maxTokens = 0) -> generated_answer
 {
-    auto answer = wholeAnswer(messages);
+    auto answer = completeAnswer(messages);
     if (hasAnswerPrefix(messages) && answer.text().starts_with(messages.back().content)) {
         auto skip = messages.back().content.size();
         auto rest = std::vector<std::string>();
--- a/tests/standins/common_faults.cpp
+++ b/tests/standins/common_faults.cpp
@@ -4,22 +4,23 @@
 
 namespace {
 
-auto refusal(http::status status) -> http_reply
+auto errorReply(http::status status) -> http_reply
 {
     auto answer = http_reply();
     answer.status = status;
     return answer;
 }
 
-auto leaveUnanswered(http_exchange &exchange, bool silent) -> nothing_awaitable
+/// Sends no reply: keeps the connection open if \p silent, else closes it.
+auto dropReply(http_exchange &exchange, bool silent) -> void_awaitable
 {
     if (silent) {
-        co_await exchange.fallSilent();
+        co_await exchange.stall();
     }
     exchange.close();
 }
 
-auto executeLate(std::int64_t milliseconds, std::function<http_reply()> execute) -> nothing_awaitable
+auto executeLate(std::int64_t milliseconds, std::function<http_reply()> execute) -> void_awaitable
 {
     co_await sleepFor(milliseconds);
     execute();
@@ -27,12 +28,13 @@
 
 } // namespace
 
-auto appliesBefore(http_exchange &exchange, standin_context &shared, std::string key) -> boost::asio::awaitable<bool>
+auto applyRequestFaults(http_exchange &exchange, standin_context &shared, std::string key)
+    -> boost::asio::awaitable<bool>
 {
     auto &faults = shared.faults;
     const auto subject = exchange.subject(std::move(key));
     if (faults.take(fault_kind::freeze, subject)) {
-        co_await exchange.fallSilent();
+        co_await exchange.stall();
     }
     if (const auto delay = faults.take(fault_kind::delay, subject)) {
         co_await sleepFor(delay->ms);
@@ -42,17 +44,17 @@
         co_return true;
     }
     if (faults.take(fault_kind::outage, subject)) {
-        const auto answer = refusal(http::status::service_unavailable);
+        const auto answer = errorReply(http::status::service_unavailable);
         co_await exchange.reply(answer);
         co_return true;
     }
     if (faults.take(fault_kind::refuse, subject)) {
-        const auto answer = refusal(http::status::too_many_requests);
+        const auto answer = errorReply(http::status::too_many_requests);
         co_await exchange.reply(answer);
         co_return true;
     }
     if (faults.take(fault_kind::leaving, subject)) {
-        auto answer = refusal(http::status::service_unavailable);
+        auto answer = errorReply(http::status::service_unavailable);
         answer.headers.emplace_back("X-Leaving", "true");
         co_await exchange.reply(answer);
         co_return true;
@@ -61,18 +63,18 @@
 }
 
 auto executeAndReply(http_exchange &exchange, standin_context &shared, std::string key,
-                     std::function<http_reply()> execute) -> nothing_awaitable
+                     std::function<http_reply()> execute) -> void_awaitable
 {
     const auto subject = exchange.subject(std::move(key));
     if (const auto late = shared.faults.take(fault_kind::landLate, subject)) {
         const auto executor = co_await boost::asio::this_coro::executor;
         boost::asio::co_spawn(executor, executeLate(late->ms, execute), boost::asio::detached);
-        co_await leaveUnanswered(exchange, late->silent);
+        co_await dropReply(exchange, late->silent);
         co_return;
     }
     const auto answer = execute();
     if (const auto lost = shared.faults.take(fault_kind::loseAnswer, subject)) {
-        co_await leaveUnanswered(exchange, lost->silent);
+        co_await dropReply(exchange, lost->silent);
         co_return;
     }
     co_await exchange.reply(answer);
--- a/tests/standins/engine_standin.cpp
+++ b/tests/standins/engine_standin.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr auto streamsPath = std::string_view("/v1/streams/");
-constexpr auto keptGenerations = std::size_t(4'096);
+/// Generations that are kept for resuming their streams.
+constexpr auto maxGenerations = std::size_t(4'096);
 
 auto replyWith(http::status status, const json::object &body) -> http_reply
 {
@@ -23,7 +24,7 @@
     return answer;
 }
 
-/// A completions request, as far as the stand-in reads it.
+/// The fields of a completions request that the stand-in uses.
 struct completions_request
 {
     std::vector<chat_message> messages;
@@ -50,8 +51,8 @@
     }
 }
 
-/// The event after that named by a Last-Event-ID of the form ID:SEQ; 0 where it is absent.
-auto eventAfter(const std::string &lastEventId) -> std::size_t
+/// Number of the event after \p lastEventId, which has the form ID:SEQ; 0 if it is absent.
+auto nextEventNumber(const std::string &lastEventId) -> std::size_t
 {
     const auto colon = lastEventId.rfind(':');
     return colon == std::string::npos ? 0 : std::strtoull(lastEventId.c_str() + colon + 1, nullptr, 10) + 1;
@@ -65,15 +66,15 @@
     , m_options(std::move(options))
     , m_cache(m_options.cacheTokens)
 {
-    noteLoad();
+    recordLoad();
 }
 
-auto engine_standin::handle(http_exchange &exchange) -> nothing_awaitable
+auto engine_standin::handle(http_exchange &exchange) -> void_awaitable
 {
     const auto &path = exchange.path();
     const auto isStream = path.starts_with(streamsPath);
     const auto key = isStream ? path.substr(streamsPath.size()) : exchange.header("X-Request-Id");
-    if (co_await appliesBefore(exchange, m_shared, key)) {
+    if (co_await applyRequestFaults(exchange, m_shared, key)) {
         co_return;
     }
     if (path == "/v1/chat/completions" && exchange.method() == "POST") {
@@ -87,13 +88,13 @@
         } else if (path == "/v1/load") {
             answer = loadReport();
         } else if (path == "/v1/orders" && exchange.method() == "POST") {
-            answer = takeOrder(exchange);
+            answer = executeOrder(exchange);
         }
         co_await exchange.reply(answer);
     }
 }
 
-auto engine_standin::complete(http_exchange &exchange) -> nothing_awaitable
+auto engine_standin::complete(http_exchange &exchange) -> void_awaitable
 {
     const auto request = parseCompletions(exchange.body());
     const auto entry = exchange.entry();
@@ -112,7 +113,7 @@
     for (const auto &message : request->messages) {
         work->promptTokens += promptTokens(message.content);
     }
-    work->cachedTokens = m_cache.use(request->messages);
+    work->cachedTokens = m_cache.lookupAndInsert(request->messages);
     admit(entry, work);
     const auto faults = stream_faults::takeFrom(m_shared.faults, exchange.subject(entry.requestId));
     if (request->stream) {
@@ -126,29 +127,29 @@
 {
     m_generations[work->id] = work;
     m_generationOrder.push_back(work->id);
-    if (m_generationOrder.size() > keptGenerations && find(m_generationOrder.front())->done()) {
+    if (m_generationOrder.size() > maxGenerations && find(m_generationOrder.front())->done()) {
         m_generations.erase(m_generationOrder.front());
         m_generationOrder.pop_front();
     }
     auto started = entry;
     started.state = "started";
     m_shared.record.append(started);
-    m_waiting.push_back({ std::move(work), entry });
-    startWaiting();
+    m_queue.push_back({ std::move(work), entry });
+    startQueued();
 }
 
-auto engine_standin::startWaiting() -> void
+auto engine_standin::startQueued() -> void
 {
-    while (m_running < m_options.slots && !m_waiting.empty()) {
-        auto next = std::move(m_waiting.front());
-        m_waiting.pop_front();
+    while (m_running < m_options.slots && !m_queue.empty()) {
+        auto next = std::move(m_queue.front());
+        m_queue.pop_front();
         ++m_running;
         asio::co_spawn(m_context, run(std::move(next.work), std::move(next.entry)), asio::detached);
     }
-    noteLoad();
+    recordLoad();
 }
 
-auto engine_standin::run(std::shared_ptr<generation> work, execution_entry entry) -> nothing_awaitable
+auto engine_standin::run(std::shared_ptr<generation> work, execution_entry entry) -> void_awaitable
 {
     const auto prefillMs = static_cast<double>(work->promptTokens - work->cachedTokens) * m_options.prefillMsPerToken;
     const auto *slow = m_shared.faults.find(fault_kind::slow);
@@ -166,34 +167,34 @@
     entry.state = work->cancelled ? "cancelled" : "finished";
     m_shared.record.append(entry);
     --m_running;
-    startWaiting();
+    startQueued();
 }
 
 auto engine_standin::tokenDelayMs() -> double
 {
-    constexpr auto slowdownPerRequest = 0.02; // Of the pace, for each request past half of the slots.
+    constexpr auto slowdownPerRequest = 0.02; // Relative slowdown for each running request over half of the slots.
     constexpr auto variation = 0.1;
-    const auto crowded = std::max(0.0, static_cast<double>(m_running) - m_options.slots / 2.0);
+    const auto requestsOverHalf = std::max(0.0, static_cast<double>(m_running) - m_options.slots / 2.0);
     const auto draw =
-        static_cast<double>(marjoramloom::hash64(std::to_string(++m_draws), m_options.seed) % 1'000) / 1'000;
+        static_cast<double>(marjoramloom::hash64(std::to_string(++m_drawCount), m_options.seed) % 1'000) / 1'000;
     const auto *slow = m_shared.faults.find(fault_kind::slow);
-    return m_options.tokenMs * (1 + slowdownPerRequest * crowded) * (1 + variation * (draw - 0.5))
+    return m_options.tokenMs * (1 + slowdownPerRequest * requestsOverHalf) * (1 + variation * (draw - 0.5))
         * (slow == nullptr ? 1 : slow->factor);
 }
 
-auto engine_standin::pauseFor(double milliseconds) -> nothing_awaitable
+auto engine_standin::pauseFor(double milliseconds) -> void_awaitable
 {
     auto timer = asio::steady_timer(m_context);
     timer.expires_after(std::chrono::microseconds(std::llround(milliseconds * 1'000)));
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-auto engine_standin::noteLoad() -> void
+auto engine_standin::recordLoad() -> void
 {
-    constexpr auto keptHistory = std::chrono::minutes(1);
+    constexpr auto maxLoadHistory = std::chrono::minutes(1);
     const auto now = clock::now();
-    m_loads.push_back({ now, m_running, static_cast<std::uint32_t>(m_waiting.size()) });
-    while (m_loads.size() > 1 && m_loads[1].since < now - keptHistory) {
+    m_loads.push_back({ now, m_running, static_cast<std::uint32_t>(m_queue.size()) });
+    while (m_loads.size() > 1 && m_loads[1].since < now - maxLoadHistory) {
         m_loads.pop_front();
     }
 }
@@ -218,7 +219,7 @@
     return replyWith(http::status::ok, body);
 }
 
-auto engine_standin::resume(http_exchange &exchange) -> nothing_awaitable
+auto engine_standin::resume(http_exchange &exchange) -> void_awaitable
 {
     const auto work = find(exchange.path().substr(streamsPath.size()));
     if (!work || work->cancelled) {
@@ -226,7 +227,7 @@
         co_await exchange.reply(answer);
         co_return;
     }
-    const auto first = eventAfter(exchange.header("Last-Event-ID"));
+    const auto first = nextEventNumber(exchange.header("Last-Event-ID"));
     const auto faults = stream_faults::takeFrom(m_shared.faults, exchange.subject(work->id));
     co_await m_writer.stream(exchange, work, first, faults);
 }
@@ -242,7 +243,7 @@
     return replyWith(http::status::ok, {});
 }
 
-auto engine_standin::takeOrder(const http_exchange &exchange) -> http_reply
+auto engine_standin::executeOrder(const http_exchange &exchange) -> http_reply
 {
     auto error = json::error_code();
     const auto document = json::parse(exchange.body(), error);
--- a/tests/standins/engine_standin.h
+++ b/tests/standins/engine_standin.h
@@ -10,32 +10,35 @@
 
 namespace standins {
 
+/// Settings of an engine stand-in.
 struct engine_options
 {
     std::string name = "engine";
     std::string dataCentre;
-    std::uint32_t slots = 8; ///< Requests that generate at once; further ones wait inside, in order of arrival.
+    std::uint32_t slots = 8; ///< Requests that run at once; further ones are queued in order of arrival.
     double firstTokenMs = 20;
     double tokenMs = 2;
-    double prefillMsPerToken = 0.05; ///< Per prompt token that is not cached.
-    std::uint64_t cacheTokens = 100'000;
-    std::int64_t loadLagMs = 1'000;
-    bool checksFencing = false;
-    std::uint64_t seed = 1; ///< Of the small variation of the pace.
+    double prefillMsPerToken = 0.05; ///< Time for each prompt token that is not cached.
+    std::uint64_t cacheTokens = 100'000; ///< Capacity of the prefix cache.
+    std::int64_t loadLagMs = 1'000; ///< Age of the load that is reported.
+    bool checksFencing = false; ///< Whether orders with an outdated fencing number are refused.
+    std::uint64_t seed = 1; ///< Seed of the random variation of the token delay.
 };
 
-/// Stand-in of a model engine. Not thread safe.
+/// Simulates an engine (a backend server that runs a language model): completions with resumable event streams, load
+/// reports, and orders with fencing numbers. Not thread safe.
 class engine_standin
 {
 public:
     engine_standin(boost::asio::io_context &context, standin_context &shared, engine_options options);
 
-    auto handle(http_exchange &exchange) -> nothing_awaitable;
+    auto handle(http_exchange &exchange) -> void_awaitable;
     auto control(http_exchange &exchange, const boost::json::value &document) -> http_reply;
 
 private:
     using clock = std::chrono::steady_clock;
 
+    /// Load from a point in time on.
     struct load_state
     {
         clock::time_point since;
@@ -43,23 +46,24 @@
         std::uint32_t waiting = 0;
     };
 
-    struct waiting_generation
+    struct queued_generation
     {
         std::shared_ptr<generation> work;
         execution_entry entry;
     };
 
-    auto complete(http_exchange &exchange) -> nothing_awaitable;
+    auto complete(http_exchange &exchange) -> void_awaitable;
     auto admit(const execution_entry &entry, std::shared_ptr<generation> work) -> void;
-    auto startWaiting() -> void;
-    auto run(std::shared_ptr<generation> work, execution_entry entry) -> nothing_awaitable;
+    auto startQueued() -> void;
+    auto run(std::shared_ptr<generation> work, execution_entry entry) -> void_awaitable;
     auto tokenDelayMs() -> double;
-    auto pauseFor(double milliseconds) -> nothing_awaitable;
-    auto noteLoad() -> void;
+    auto pauseFor(double milliseconds) -> void_awaitable;
+    auto recordLoad() -> void;
     auto loadReport() const -> http_reply;
-    auto resume(http_exchange &exchange) -> nothing_awaitable;
+    /// Continues a stream after the event in the request's Last-Event-ID.
+    auto resume(http_exchange &exchange) -> void_awaitable;
     auto cancel(const std::string &id) -> http_reply;
-    auto takeOrder(const http_exchange &exchange) -> http_reply;
+    auto executeOrder(const http_exchange &exchange) -> http_reply;
     auto find(const std::string &id) const -> std::shared_ptr<generation>;
 
     boost::asio::io_context &m_context;
@@ -69,11 +73,11 @@
     event_writer m_writer;
     std::unordered_map<std::string, std::shared_ptr<generation>> m_generations;
     std::deque<std::string> m_generationOrder; ///< Oldest first.
-    std::deque<waiting_generation> m_waiting;
+    std::deque<queued_generation> m_queue;
     std::uint32_t m_running = 0;
-    std::deque<load_state> m_loads;
-    std::uint64_t m_fence = 0;
-    std::uint64_t m_draws = 0;
+    std::deque<load_state> m_loads; ///< History of the load, oldest first.
+    std::uint64_t m_fence = 0; ///< Highest fencing number received.
+    std::uint64_t m_drawCount = 0;
 };
 
 } // namespace standins
--- a/tests/standins/event_writer.cpp
+++ b/tests/standins/event_writer.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr auto strangerId = "another-request";
-constexpr auto strangerText = "text of another answer ";
+constexpr auto foreignId = "another-request";
+constexpr auto foreignText = "text of another answer ";
 
 auto usageOf(const generation &work) -> json::object
 {
@@ -31,17 +31,18 @@
     return choices;
 }
 
-auto framed(const std::string &id, std::size_t number, const std::string &data) -> std::string
+auto formatEvent(const std::string &id, std::size_t number, const std::string &data) -> std::string
 {
     return "id: " + id + ":" + std::to_string(number) + "\ndata: " + data + "\n\n";
 }
 
-/// Event \p number of an answer; the one past the last token ends the stream.
-auto eventOf(const generation &work, std::size_t number) -> std::string
+/// Event \p number of an answer, which carries the token of the same number. The event after the last token ends the
+/// stream.
+auto answerEvent(const generation &work, std::size_t number) -> std::string
 {
     const auto &tokens = work.answer.tokens;
     if (number >= tokens.size()) {
-        return framed(work.id, number, "[DONE]");
+        return formatEvent(work.id, number, "[DONE]");
     }
     const auto last = number + 1 == tokens.size();
     auto delta = json::object();
@@ -52,20 +53,21 @@
     if (last) {
         data["usage"] = usageOf(work);
     }
-    return framed(work.id, number, json::serialize(data));
+    return formatEvent(work.id, number, json::serialize(data));
 }
 
-auto strangerEvent(std::size_t number) -> std::string
+/// An event that belongs to another request's answer.
+auto foreignEvent(std::size_t number) -> std::string
 {
     auto delta = json::object();
-    delta["content"] = strangerText;
+    delta["content"] = foreignText;
     auto data = json::object();
-    data["id"] = strangerId;
+    data["id"] = foreignId;
     data["choices"] = choiceOf("delta", delta, json::value());
-    return framed(strangerId, number, json::serialize(data));
+    return formatEvent(foreignId, number, json::serialize(data));
 }
 
-auto strikes(const std::optional<fault> &candidate, std::size_t number) -> bool
+auto takesEffectAt(const std::optional<fault> &candidate, std::size_t number) -> bool
 {
     return candidate && candidate->events == number;
 }
@@ -85,36 +87,36 @@
 }
 
 auto event_writer::sendEvent(http_exchange &exchange, const generation &work, std::size_t number,
-                             const stream_faults &faults) -> nothing_awaitable
+                             const stream_faults &faults) -> void_awaitable
 {
-    if (strikes(faults.drop, number)) {
+    if (takesEffectAt(faults.drop, number)) {
         co_return;
     }
-    auto event = strikes(faults.cross, number) ? strangerEvent(number) : eventOf(work, number);
-    if (strikes(faults.reorder, number)) {
-        event = eventOf(work, number + 1) + event;
+    auto event = takesEffectAt(faults.cross, number) ? foreignEvent(number) : answerEvent(work, number);
+    if (takesEffectAt(faults.reorder, number)) {
+        event = answerEvent(work, number + 1) + event;
     }
-    if (strikes(faults.repeat, number)) {
+    if (takesEffectAt(faults.repeat, number)) {
         event += event;
     }
-    co_await exchange.writePiece(event);
+    co_await exchange.writeChunk(event);
 }
 
 auto event_writer::stream(http_exchange &exchange, std::shared_ptr<generation> work, std::size_t first,
-                          stream_faults faults) -> nothing_awaitable
+                          stream_faults faults) -> void_awaitable
 {
     co_await exchange.startStream("text/event-stream");
     const auto tokens = work->answer.tokens.size();
     auto next = first;
     auto sent = std::size_t(0);
     while (next <= tokens) {
-        if (strikes(faults.die, sent)) {
+        if (takesEffectAt(faults.die, sent)) {
             work->cancelled = work->cancelled || faults.die->forget;
             exchange.close();
             co_return;
         }
-        if (strikes(faults.freeze, sent)) {
-            co_await exchange.fallSilent();
+        if (takesEffectAt(faults.freeze, sent)) {
+            co_await exchange.stall();
         }
         const auto ready = next < work->produced || (next == tokens && work->produced == tokens);
         if (!ready && work->cancelled) {
@@ -122,10 +124,10 @@
             co_return;
         }
         if (!ready) {
-            co_await work->changed();
+            co_await work->waitForChange();
             continue;
         }
-        const auto reordered = strikes(faults.reorder, next);
+        const auto reordered = takesEffectAt(faults.reorder, next);
         co_await sendEvent(exchange, *work, next, faults);
         next += reordered ? 2 : 1;
         ++sent;
@@ -134,13 +136,13 @@
 }
 
 auto event_writer::whole(http_exchange &exchange, std::shared_ptr<generation> work, stream_faults faults)
-    -> nothing_awaitable
+    -> void_awaitable
 {
     while (!work->done()) {
-        co_await work->changed();
+        co_await work->waitForChange();
     }
     if (faults.freeze) {
-        co_await exchange.fallSilent();
+        co_await exchange.stall();
     }
     if (faults.die || work->cancelled) {
         exchange.close();
@@ -148,9 +150,9 @@
     }
     auto message = json::object();
     message["role"] = "assistant";
-    message["content"] = faults.cross ? std::string(strangerText) : work->answer.text();
+    message["content"] = faults.cross ? std::string(foreignText) : work->answer.text();
     auto body = json::object();
-    body["id"] = faults.cross ? std::string(strangerId) : work->id;
+    body["id"] = faults.cross ? std::string(foreignId) : work->id;
     body["choices"] = choiceOf("message", message, json::value(work->answer.finishReason));
     body["usage"] = usageOf(*work);
     auto answer = http_reply();
--- a/tests/standins/event_writer.h
+++ b/tests/standins/event_writer.h
@@ -21,20 +21,20 @@
     static auto takeFrom(fault_set &faults, const fault_subject &subject) -> stream_faults;
 };
 
-/// Writes answers of generations, whole or as server-sent events, with the faults that apply.
+/// Writes the answer of a generation, as one response or as server-sent events, and applies stream faults to it.
 class event_writer
 {
 public:
-    /// Streams the events from number \p first on until the answer ends.
+    /// Streams the events from number \p first to the end of the answer, as they are generated.
     auto stream(http_exchange &exchange, std::shared_ptr<generation> work, std::size_t first, stream_faults faults)
-        -> nothing_awaitable;
+        -> void_awaitable;
 
-    /// Answers with the whole text once it is generated.
-    auto whole(http_exchange &exchange, std::shared_ptr<generation> work, stream_faults faults) -> nothing_awaitable;
+    /// Sends the complete answer in one response, when it is generated.
+    auto whole(http_exchange &exchange, std::shared_ptr<generation> work, stream_faults faults) -> void_awaitable;
 
 private:
     auto sendEvent(http_exchange &exchange, const generation &work, std::size_t number, const stream_faults &faults)
-        -> nothing_awaitable;
+        -> void_awaitable;
 };
 
 } // namespace standins
--- a/tests/standins/execution_record.cpp
+++ b/tests/standins/execution_record.cpp
@@ -9,7 +9,7 @@
 
 auto execution_record::append(const execution_entry &entry) -> void
 {
-    constexpr auto longestShownBody = std::size_t(512);
+    constexpr auto maxRecordedBodyBytes = std::size_t(512);
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     auto line = boost::json::object();
     line["sequence"] = ++m_sequence;
@@ -20,7 +20,7 @@
     line["method"] = entry.method;
     line["path"] = entry.path;
     line["body_hash"] = std::to_string(marjoramloom::hash64(entry.body));
-    if (entry.body.size() <= longestShownBody) {
+    if (entry.body.size() <= maxRecordedBodyBytes) {
         line["body"] = entry.body;
     }
     line["tokens"] = entry.tokens;
--- a/tests/standins/execution_record.h
+++ b/tests/standins/execution_record.h
@@ -6,7 +6,7 @@
 
 namespace standins {
 
-/// One line of the record: what was executed, and how far.
+/// One line of the record: a request and the state of its execution.
 struct execution_entry
 {
     std::string requestId;
@@ -15,17 +15,17 @@
     std::string method;
     std::string path;
     std::string body;
-    std::uint64_t tokens = 0;
+    std::uint64_t tokens = 0; ///< Tokens generated.
     std::string state; ///< started, finished or cancelled.
 };
 
-/// Append-only record of what a stand-in executed. Not thread safe.
+/// Append-only record of the requests that a stand-in executed, by which tests check the executions. Not thread safe.
 class execution_record
 {
 public:
     auto append(const execution_entry &entry) -> void;
 
-    /// All lines, one JSON object each.
+    /// All lines, each a JSON object with a line feed.
     [[nodiscard]] auto lines() const -> const std::string &
     {
         return m_lines;
--- a/tests/standins/fault_set.h
+++ b/tests/standins/fault_set.h
@@ -10,7 +10,7 @@
 
 namespace standins {
 
-/// What a stand-in can be told to do wrong; README.md describes each.
+/// Kinds of faults that a stand-in can inject. README.md describes each.
 enum class fault_kind {
     outage,
     close,
@@ -35,26 +35,26 @@
     checkFencing,
 };
 
-/// One fault, with the requests that it applies to.
+/// One fault, with the conditions for the requests that it applies to. Which fields have a meaning depends on the kind.
 struct fault
 {
     fault_kind kind = fault_kind::outage;
-    std::optional<std::uint32_t> count; ///< Requests left that it applies to; absent: all.
-    std::uint32_t skip = 0; ///< Matching requests that pass first.
-    std::string match; ///< Prefix of the object's kind/name or of the request id.
-    std::string contains; ///< Text in the request's body.
+    std::optional<std::uint32_t> count; ///< Number of requests that it still applies to; no value means all.
+    std::uint32_t skip = 0; ///< Number of matching requests that it does not apply to first.
+    std::string match; ///< Prefix of the key: the object's kind/name, or the request id.
+    std::string contains; ///< Text that the request's body must contain.
     std::string method; ///< HTTP method; empty for any.
-    std::int64_t ms = 0;
-    double factor = 1;
-    std::uint32_t events = 0; ///< Events of the stream before it takes effect.
-    std::uint64_t revision = 0;
-    std::uint64_t behind = 0; ///< Revisions.
+    std::int64_t ms = 0; ///< Delay, duration or lag in milliseconds.
+    double factor = 1; ///< Multiplier of delays.
+    std::uint32_t events = 0; ///< Number of events of the stream before it takes effect.
+    std::uint64_t revision = 0; ///< Revision that stale reads show; 0 to use \p behind.
+    std::uint64_t behind = 0; ///< Number of revisions by which stale reads lag.
     bool forget = false; ///< The stream cannot be resumed afterwards.
-    bool silent = false; ///< Keep the connection open without a word instead of closing it.
-    bool enabled = true;
+    bool silent = false; ///< Leave the connection open without sending anything, instead of closing it.
+    bool enabled = true; ///< Value of the setting that the fault overrides.
 };
 
-/// What a fault's conditions are compared with.
+/// Properties of a request that the conditions of faults are compared with.
 struct fault_subject
 {
     std::string key;
@@ -62,17 +62,19 @@
     std::string body;
 };
 
-/// The faults in force. Not thread safe.
+/// The active faults of a stand-in. Not thread safe.
 class fault_set
 {
 public:
-    /// Replaces all faults. Returns what is wrong with \p document, or an empty text.
+    /// Replaces all faults by those in \p document. Returns the problem of an invalid document, which changes nothing;
+    /// empty on success.
     auto replace(const boost::json::value &document) -> std::string;
 
-    /// The fault of that kind that applies to \p subject, used once; nothing where there is none.
+    /// Returns the first fault of that kind that applies to \p subject and counts it as used once; no value if there is
+    /// none.
     auto take(fault_kind kind, const fault_subject &subject) -> std::optional<fault>;
 
-    /// The fault of that kind, whatever its conditions, without using it.
+    /// Returns the first fault of that kind regardless of its conditions, and does not count it as used.
     [[nodiscard]] auto find(fault_kind kind) const -> const fault *;
 
 private:
--- a/tests/standins/generation.cpp
+++ b/tests/standins/generation.cpp
@@ -9,20 +9,20 @@
 generation::generation(const asio::any_io_executor &executor, std::string requestId, generated_answer whole)
     : id(std::move(requestId))
     , answer(std::move(whole))
-    , m_change(executor, asio::steady_timer::time_point::max())
+    , m_changeSignal(executor, asio::steady_timer::time_point::max())
 {
 }
 
 auto generation::notify() -> void
 {
-    m_change.cancel();
+    m_changeSignal.cancel();
 }
 
-auto generation::changed() -> asio::awaitable<void>
+auto generation::waitForChange() -> asio::awaitable<void>
 {
     auto ignored = boost::system::error_code();
     auto token = asio::redirect_error(asio::use_awaitable, ignored);
-    co_await m_change.async_wait(token);
+    co_await m_changeSignal.async_wait(token);
 }
 
 } // namespace standins
--- a/tests/standins/generation.h
+++ b/tests/standins/generation.h
@@ -8,7 +8,7 @@
 
 namespace standins {
 
-/// One request that an engine runs. It goes on when its connection is lost, so that it can be resumed.
+/// One request that an engine runs. It continues when its connection is lost, so that the stream can be resumed.
 class generation
 {
 public:
@@ -26,14 +26,14 @@
         return cancelled || produced == answer.tokens.size();
     }
 
-    /// Wakes all that wait for tokens.
+    /// Wakes all coroutines in waitForChange().
     auto notify() -> void;
 
     /// Waits for the next notify().
-    auto changed() -> boost::asio::awaitable<void>;
+    auto waitForChange() -> boost::asio::awaitable<void>;
 
 private:
-    boost::asio::steady_timer m_change;
+    boost::asio::steady_timer m_changeSignal; ///< Never expires; cancelled to wake the waiting coroutines.
 };
 
 } // namespace standins
--- a/tests/standins/http_exchange.cpp
+++ b/tests/standins/http_exchange.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Splits a=1&b=2; values are taken as they are.
+/// Splits a query of the form a=1&b=2. Percent-encoding is not decoded.
 auto parseQuery(std::string_view text) -> std::map<std::string, std::string>
 {
     auto parsed = std::map<std::string, std::string>();
@@ -25,7 +25,7 @@
 
 } // namespace
 
-auto sleepFor(std::int64_t milliseconds) -> nothing_awaitable
+auto sleepFor(std::int64_t milliseconds) -> void_awaitable
 {
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
     timer.expires_after(std::chrono::milliseconds(milliseconds));
@@ -91,12 +91,12 @@
     return filled;
 }
 
-auto http_exchange::reply(http_reply answer) -> nothing_awaitable
+auto http_exchange::reply(http_reply answer) -> void_awaitable
 {
     if (m_closed) {
         co_return;
     }
-    co_await silentIfFrozen();
+    co_await stallIfFrozen();
     auto response = http::response<http::string_body>(answer.status, m_request.version());
     response.set(http::field::content_type, answer.contentType);
     for (const auto &[name, value] : answer.headers) {
@@ -109,9 +109,9 @@
 }
 
 auto http_exchange::startStream(std::string contentType, std::vector<std::pair<std::string, std::string>> headers)
-    -> nothing_awaitable
+    -> void_awaitable
 {
-    co_await silentIfFrozen();
+    co_await stallIfFrozen();
     auto response = http::response<http::empty_body>(http::status::ok, m_request.version());
     response.set(http::field::content_type, contentType);
     for (const auto &[name, value] : headers) {
@@ -122,16 +122,16 @@
     co_await http::async_write_header(m_stream, serializer, asio::use_awaitable);
 }
 
-auto http_exchange::writePiece(std::string piece) -> nothing_awaitable
+auto http_exchange::writeChunk(std::string piece) -> void_awaitable
 {
-    co_await silentIfFrozen();
+    co_await stallIfFrozen();
     const auto chunk = http::make_chunk(asio::buffer(piece));
     co_await asio::async_write(m_stream, chunk, asio::use_awaitable);
 }
 
-auto http_exchange::finishStream() -> nothing_awaitable
+auto http_exchange::finishStream() -> void_awaitable
 {
-    co_await silentIfFrozen();
+    co_await stallIfFrozen();
     const auto end = http::make_chunk_last();
     co_await asio::async_write(m_stream, end, asio::use_awaitable);
 }
@@ -144,14 +144,14 @@
     m_stream.close();
 }
 
-auto http_exchange::fallSilent() -> nothing_awaitable
+auto http_exchange::stall() -> void_awaitable
 {
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
     timer.expires_at(asio::steady_timer::time_point::max());
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-auto http_exchange::pause(std::int64_t milliseconds) -> nothing_awaitable
+auto http_exchange::pause(std::int64_t milliseconds) -> void_awaitable
 {
     return sleepFor(milliseconds);
 }
@@ -161,10 +161,10 @@
     return !m_closed && m_request.keep_alive();
 }
 
-auto http_exchange::silentIfFrozen() -> nothing_awaitable
+auto http_exchange::stallIfFrozen() -> void_awaitable
 {
     if (m_openedAt != m_epoch.value && !m_path.starts_with("/control/")) {
-        co_await fallSilent();
+        co_await stall();
     }
 }
 
--- a/tests/standins/http_exchange.h
+++ b/tests/standins/http_exchange.h
@@ -15,9 +15,9 @@
 
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
-using nothing_awaitable = boost::asio::awaitable<void>;
+using void_awaitable = boost::asio::awaitable<void>;
 
-/// A whole answer.
+/// A complete response that is not streamed.
 struct http_reply
 {
     http::status status = http::status::ok;
@@ -26,16 +26,17 @@
     std::string contentType = "application/json";
 };
 
-/// Moved on by the freeze_open fault: connections that were open by then fall silent for good.
+/// Incremented by the freeze_open fault: connections opened in an earlier epoch send nothing any more.
 struct freeze_epoch
 {
     std::uint64_t value = 0;
 };
 
-/// One request on one connection, and the ways to answer it. Not thread safe.
+/// One request on one connection, with the functions to answer it. Not thread safe.
 class http_exchange
 {
 public:
+    /// \p openedAt is the value of \p epoch when the connection was opened.
     http_exchange(beast::tcp_stream &stream, http::request<http::string_body> request, const freeze_epoch &epoch,
                   std::uint64_t openedAt);
 
@@ -44,32 +45,37 @@
     [[nodiscard]] auto query(const std::string &key) const -> std::string;
     [[nodiscard]] auto header(std::string_view name) const -> std::string;
     [[nodiscard]] auto body() const -> const std::string &;
+
+    /// This request, for comparison with the conditions of faults.
     [[nodiscard]] auto subject(std::string key) const -> fault_subject;
+
+    /// This request as an entry of the execution record, without tokens and state.
     [[nodiscard]] auto entry() const -> execution_entry;
 
-    /// Sends a whole answer.
-    auto reply(http_reply answer) -> nothing_awaitable;
+    /// Sends a complete response. Does nothing after close().
+    auto reply(http_reply answer) -> void_awaitable;
 
-    /// Sends the header of a chunked answer.
+    /// Sends the header of a chunked response; writeChunk() and finishStream() send its body.
     auto startStream(std::string contentType, std::vector<std::pair<std::string, std::string>> headers = {})
-        -> nothing_awaitable;
-    auto writePiece(std::string piece) -> nothing_awaitable;
-    auto finishStream() -> nothing_awaitable;
+        -> void_awaitable;
+    auto writeChunk(std::string piece) -> void_awaitable;
+    auto finishStream() -> void_awaitable;
 
-    /// Closes the connection at once.
+    /// Closes the connection immediately.
     auto close() -> void;
 
-    /// Never returns; the connection stays open without a word.
-    auto fallSilent() -> nothing_awaitable;
+    /// Never completes. The connection stays open and nothing is sent.
+    auto stall() -> void_awaitable;
 
     /// Suspends for \p milliseconds.
-    auto pause(std::int64_t milliseconds) -> nothing_awaitable;
+    auto pause(std::int64_t milliseconds) -> void_awaitable;
 
-    /// Whether the connection can take another request.
+    /// Whether the connection can be used for another request.
     [[nodiscard]] auto keepAlive() const -> bool;
 
 private:
-    auto silentIfFrozen() -> nothing_awaitable;
+    /// Calls stall() if the freeze_open fault applies to the connection. Requests to /control/ are exempt.
+    auto stallIfFrozen() -> void_awaitable;
 
     beast::tcp_stream &m_stream;
     http::request<http::string_body> m_request;
@@ -81,6 +87,6 @@
 };
 
 /// Suspends the calling coroutine for \p milliseconds.
-auto sleepFor(std::int64_t milliseconds) -> nothing_awaitable;
+auto sleepFor(std::int64_t milliseconds) -> void_awaitable;
 
 } // namespace standins
--- a/tests/standins/http_server.h
+++ b/tests/standins/http_server.h
@@ -11,7 +11,7 @@
 
 namespace standins {
 
-/// What every stand-in has: its faults and its record.
+/// State that every stand-in has: its faults and its execution record.
 struct standin_context
 {
     fault_set faults;
@@ -19,45 +19,47 @@
     freeze_epoch epoch;
 };
 
-/// A stand-in answers requests, and may have control paths of its own.
+/// Requirements on a stand-in: it answers requests, and control requests that http_server does not handle itself.
 template<typename Standin>
 concept http_standin = requires(Standin &standin, http_exchange &exchange, const boost::json::value &document)
 {
     {
         standin.handle(exchange)
-        } -> std::same_as<nothing_awaitable>;
+        } -> std::same_as<void_awaitable>;
     {
         standin.control(exchange, document)
         } -> std::same_as<http_reply>;
 };
 
-/// Listener and connections of one stand-in, all on one thread.
+/// HTTP server of one stand-in. Handles the control paths for faults and the execution record, and passes other
+/// requests to the stand-in. Runs on the single thread of the io_context.
 template<http_standin Standin>
 class http_server
 {
 public:
     http_server(boost::asio::io_context &context, Standin &standin, standin_context &shared);
 
-    /// Opens the listener and prints `listening IP:PORT`.
+    /// Opens the listener and prints `listening IP:PORT`, which the starting process reads. Port 0 picks a free port.
     auto start(const std::string &address, std::uint16_t port) -> void;
 
 private:
     using tcp = boost::asio::ip::tcp;
 
-    auto open() -> void;
-    auto acceptAll() -> nothing_awaitable;
-    auto serve(tcp::socket socket) -> nothing_awaitable;
-    auto serveRequests(beast::tcp_stream &stream) -> nothing_awaitable;
-    auto control(http_exchange &exchange) -> nothing_awaitable;
+    auto openListener() -> void;
+    auto acceptAll() -> void_awaitable;
+    auto serve(tcp::socket socket) -> void_awaitable;
+    auto serveRequests(beast::tcp_stream &stream) -> void_awaitable;
+    auto control(http_exchange &exchange) -> void_awaitable;
     auto replaceFaults(const boost::json::value &document) -> http_reply;
-    auto refuseConnections(std::int64_t milliseconds) -> nothing_awaitable;
+    /// Closes the listener and all connections, and opens the listener again after \p milliseconds.
+    auto refuseConnections(std::int64_t milliseconds) -> void_awaitable;
 
     boost::asio::io_context &m_context;
     Standin &m_standin;
     standin_context &m_shared;
     tcp::acceptor m_acceptor;
     tcp::endpoint m_endpoint;
-    std::set<beast::tcp_stream *> m_open;
+    std::set<beast::tcp_stream *> m_openStreams;
 };
 
 } // namespace standins
--- a/tests/standins/http_server.inl
+++ b/tests/standins/http_server.inl
@@ -13,14 +13,14 @@
 auto http_server<Standin>::start(const std::string &address, std::uint16_t port) -> void
 {
     m_endpoint = tcp::endpoint(boost::asio::ip::make_address(address), port);
-    open();
+    openListener();
     m_endpoint = m_acceptor.local_endpoint();
     std::cout << "listening " << m_endpoint << std::endl;
     boost::asio::co_spawn(m_context, acceptAll(), boost::asio::detached);
 }
 
 template<http_standin Standin>
-auto http_server<Standin>::open() -> void
+auto http_server<Standin>::openListener() -> void
 {
     m_acceptor.open(m_endpoint.protocol());
     m_acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -29,7 +29,7 @@
 }
 
 template<http_standin Standin>
-auto http_server<Standin>::acceptAll() -> nothing_awaitable
+auto http_server<Standin>::acceptAll() -> void_awaitable
 {
     while (m_acceptor.is_open()) {
         auto error = boost::system::error_code();
@@ -42,29 +42,29 @@
 }
 
 template<http_standin Standin>
-auto http_server<Standin>::serve(tcp::socket socket) -> nothing_awaitable
+auto http_server<Standin>::serve(tcp::socket socket) -> void_awaitable
 {
     auto stream = beast::tcp_stream(std::move(socket));
-    m_open.insert(&stream);
+    m_openStreams.insert(&stream);
     try {
         stream.socket().set_option(tcp::no_delay(true));
         co_await serveRequests(stream);
     } catch (const boost::system::system_error &) {
-        // The peer left; what it asked for goes on where it runs on its own.
+        // The client disconnected. A generation that it started continues.
     }
-    m_open.erase(&stream);
+    m_openStreams.erase(&stream);
 }
 
 template<http_standin Standin>
-auto http_server<Standin>::serveRequests(beast::tcp_stream &stream) -> nothing_awaitable
+auto http_server<Standin>::serveRequests(beast::tcp_stream &stream) -> void_awaitable
 {
-    constexpr auto bodyLimitBytes = 16U << 20U;
+    constexpr auto maxBodyBytes = 16U << 20U;
     const auto openedAt = m_shared.epoch.value;
     auto buffer = beast::flat_buffer();
-    auto open = true;
-    while (open) {
+    auto isOpen = true;
+    while (isOpen) {
         auto parser = http::request_parser<http::string_body>();
-        parser.body_limit(bodyLimitBytes);
+        parser.body_limit(maxBodyBytes);
         co_await http::async_read(stream, buffer, parser, boost::asio::use_awaitable);
         auto exchange = http_exchange(stream, parser.release(), m_shared.epoch, openedAt);
         if (exchange.path().starts_with("/control/")) {
@@ -72,12 +72,12 @@
         } else {
             co_await m_standin.handle(exchange);
         }
-        open = exchange.keepAlive();
+        isOpen = exchange.keepAlive();
     }
 }
 
 template<http_standin Standin>
-auto http_server<Standin>::control(http_exchange &exchange) -> nothing_awaitable
+auto http_server<Standin>::control(http_exchange &exchange) -> void_awaitable
 {
     auto answer = http_reply();
     auto error = boost::json::error_code();
@@ -101,10 +101,10 @@
 auto http_server<Standin>::replaceFaults(const boost::json::value &document) -> http_reply
 {
     auto answer = http_reply();
-    const auto wrong = m_shared.faults.replace(document);
-    if (!wrong.empty()) {
+    const auto problem = m_shared.faults.replace(document);
+    if (!problem.empty()) {
         answer.status = http::status::bad_request;
-        answer.body = wrong;
+        answer.body = problem;
         return answer;
     }
     if (m_shared.faults.find(fault_kind::freezeOpen) != nullptr) {
@@ -117,17 +117,17 @@
 }
 
 template<http_standin Standin>
-auto http_server<Standin>::refuseConnections(std::int64_t milliseconds) -> nothing_awaitable
+auto http_server<Standin>::refuseConnections(std::int64_t milliseconds) -> void_awaitable
 {
-    constexpr auto answerControlMs = 20;
-    co_await sleepFor(answerControlMs);
+    constexpr auto controlReplyMs = 20; // Time for the reply to the control request to be sent.
+    co_await sleepFor(controlReplyMs);
     m_acceptor.close();
-    for (auto *stream : m_open) {
+    for (auto *stream : m_openStreams) {
         stream->cancel();
         stream->close();
     }
     co_await sleepFor(milliseconds);
-    open();
+    openListener();
     boost::asio::co_spawn(m_context, acceptAll(), boost::asio::detached);
 }
 
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -1,3 +1,6 @@
+// Runs one stand-in: a process that simulates an external system in tests and in scripts/demo. It can inject faults and
+// records what it executed; both are accessed by the HTTP paths /control/faults and /control/record.
+
 #include "engine_standin.h"
 #include "platform_standin.h"
 #include "routed_standin.h"
@@ -12,7 +15,7 @@
 
 constexpr auto exitUsage = 2;
 
-/// Everything that the command line can set; each stand-in uses its part.
+/// Options of the command line. Each kind of stand-in uses some of them.
 struct command_line
 {
     std::string listen = "127.0.0.1:0";
@@ -31,7 +34,7 @@
     std::string standin;
 };
 
-/// Reads the command line; popt keeps the texts that it hands out, so they are copied at the end.
+/// Parses the command line. The strings that popt returns are copied before they and its context are freed.
 auto parse(int argc, const char **argv) -> std::optional<command_line>
 {
     auto parsed = command_line();
@@ -51,7 +54,7 @@
         { "checks-fencing", 0, POPT_ARG_NONE, &parsed.checksFencing, 0, "engine: refuse old fencing numbers", nullptr },
         { "call-ms", 0, POPT_ARG_INT, &parsed.callMs, 0, "service, routed: duration of a call", "MS" },
         { "event-ms", 0, POPT_ARG_INT, &parsed.eventMs, 0, "routed: time before each event", "MS" },
-        { "seed", 0, POPT_ARG_INT, &parsed.seed, 0, "engine: seed of the variation of the pace", "N" },
+        { "seed", 0, POPT_ARG_INT, &parsed.seed, 0, "engine: seed of the variation of token delays", "N" },
         POPT_AUTOHELP POPT_TABLEEND,
     };
     auto *context = poptGetContext(nullptr, argc, argv, options, 0);
--- a/tests/standins/object_log.h
+++ b/tests/standins/object_log.h
@@ -7,7 +7,7 @@
 
 namespace standins {
 
-/// One write to the store: a value, or a deletion.
+/// One write to the store: a new value or a deletion.
 struct object_write
 {
     std::string kind;
@@ -17,7 +17,7 @@
     bool deleted = false;
 };
 
-/// Versioned objects with every write kept, so that reads can be answered at an older revision. Not thread safe.
+/// Log of all writes to versioned objects. Reads can be answered as of any earlier revision. Not thread safe.
 class object_log
 {
 public:
@@ -26,17 +26,17 @@
         return m_writes.size();
     }
 
-    /// The object as it stood at \p revision; its revision is 0 where none stood.
+    /// The object as of \p revision; its revision is 0 if it did not exist then.
     [[nodiscard]] auto at(const std::string &kind, const std::string &name, std::uint64_t revision) const
         -> object_write;
 
-    /// All objects of a kind as they stood at \p revision.
+    /// All objects of a kind as of \p revision.
     [[nodiscard]] auto listAt(const std::string &kind, std::uint64_t revision) const -> std::vector<object_write>;
 
-    /// Appends a write; its revision is set here.
+    /// Appends a write and returns it with its revision.
     auto append(object_write write) -> object_write;
 
-    /// Writes after \p since, in order.
+    /// All writes with a revision higher than \p since, in order.
     [[nodiscard]] auto after(std::uint64_t since) const -> std::vector<object_write>;
 
 private:
--- a/tests/standins/platform_standin.cpp
+++ b/tests/standins/platform_standin.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr auto valueLimitBytes = std::size_t(1) << 20U;
-constexpr auto waitLimit = std::chrono::milliseconds(30'000);
+constexpr auto maxValueBytes = std::size_t(1) << 20U;
+/// Longest time that a watch request is kept open without events.
+constexpr auto maxWait = std::chrono::milliseconds(30'000);
 constexpr auto objectsPath = std::string_view("/v1/objects/");
 
 auto toJson(const object_write &object) -> json::object
@@ -35,39 +36,39 @@
     return answer;
 }
 
-/// What a write asks for: an object's name, its content, and the revision at which it must stand.
-struct asked_write
+/// Parsed request of a write: the object's name, its new content, and the revision that it must currently have.
+struct write_request
 {
     std::string name;
     std::string value;
     std::optional<std::uint64_t> revision;
 };
 
-auto parseWrite(const std::string &body) -> asked_write
+auto parseWrite(const std::string &body) -> write_request
 {
-    auto asked = asked_write();
+    auto requested = write_request();
     auto error = boost::system::error_code();
     const auto parsed = json::parse(body, error);
     const auto *object = error ? nullptr : parsed.if_object();
     if (object == nullptr) {
-        return asked;
+        return requested;
     }
     if (const auto *spec = object->if_contains("spec")) {
-        asked.value = json::serialize(*spec);
+        requested.value = json::serialize(*spec);
     }
     const auto *metadata = object->if_contains("metadata");
     if (metadata != nullptr && metadata->is_object()) {
         if (const auto *name = metadata->get_object().if_contains("name")) {
-            asked.name = json::value_to<std::string>(*name);
+            requested.name = json::value_to<std::string>(*name);
         }
         if (const auto *revision = metadata->get_object().if_contains("revision")) {
-            asked.revision = revision->to_number<std::uint64_t>();
+            requested.revision = revision->to_number<std::uint64_t>();
         }
     }
-    return asked;
+    return requested;
 }
 
-/// Splits kind/name; the name may be empty.
+/// Splits a key of the form kind/name. The name may be empty.
 auto splitKey(const std::string &key) -> std::pair<std::string, std::string>
 {
     const auto slash = key.find('/');
@@ -79,18 +80,18 @@
 platform_standin::platform_standin(asio::io_context &context, standin_context &shared, platform_standin_options options)
     : m_shared(shared)
     , m_options(options)
-    , m_written(context, clock::time_point::max())
+    , m_writeSignal(context, clock::time_point::max())
 {
 }
 
-auto platform_standin::handle(http_exchange &exchange) -> nothing_awaitable
+auto platform_standin::handle(http_exchange &exchange) -> void_awaitable
 {
     const auto isObject = exchange.path().starts_with(objectsPath);
     auto key = isObject ? exchange.path().substr(objectsPath.size()) : exchange.path();
     if (exchange.method() == "POST") {
         key += "/" + parseWrite(exchange.body()).name;
     }
-    if (co_await appliesBefore(exchange, m_shared, key)) {
+    if (co_await applyRequestFaults(exchange, m_shared, key)) {
         co_return;
     }
     const auto [kind, name] = splitKey(key);
@@ -158,32 +159,32 @@
     const auto current = m_log.at(kind, name, m_log.revision());
     const auto creates = entry.method == "POST";
     const auto deletes = entry.method == "DELETE";
-    auto asked = parseWrite(entry.body);
+    auto requested = parseWrite(entry.body);
     if (!revisionInPath.empty()) {
-        asked.revision = std::strtoull(revisionInPath.c_str(), nullptr, 10);
+        requested.revision = std::strtoull(revisionInPath.c_str(), nullptr, 10);
     }
     if (name.empty() || (entry.method != "PUT" && !deletes && !creates)) {
         return replyWith(http::status::bad_request, {});
     }
-    if (entry.body.size() > valueLimitBytes) {
+    if (entry.body.size() > maxValueBytes) {
         return replyWith(http::status::payload_too_large, {});
     }
     if (!creates && current.revision == 0) {
         return replyWith(http::status::not_found, {});
     }
-    if (creates ? current.revision != 0 : asked.revision.value_or(current.revision) != current.revision) {
+    if (creates ? current.revision != 0 : requested.revision.value_or(current.revision) != current.revision) {
         return replyWith(http::status::conflict, toJson(current));
     }
-    auto write = object_write{ kind, name, 0, deletes ? std::string() : asked.value, deletes };
+    auto write = object_write{ kind, name, 0, deletes ? std::string() : requested.value, deletes };
     const auto written = m_log.append(std::move(write));
     auto recorded = entry;
     recorded.state = "finished";
     m_shared.record.append(recorded);
-    m_written.cancel();
+    m_writeSignal.cancel();
     return replyWith(http::status::ok, toJson(written));
 }
 
-auto platform_standin::watch(http_exchange &exchange, const std::string &kind) -> nothing_awaitable
+auto platform_standin::watch(http_exchange &exchange, const std::string &kind) -> void_awaitable
 {
     const auto sinceText = exchange.query("subscription");
     const auto since = std::strtoull(sinceText.c_str(), nullptr, 10);
@@ -194,7 +195,7 @@
     }
     const auto waitText = exchange.query("wait_ms");
     const auto wait = std::chrono::milliseconds(std::strtoll(waitText.c_str(), nullptr, 10));
-    const auto limit = clock::now() + std::min(wait, waitLimit);
+    const auto limit = clock::now() + std::min(wait, maxWait);
     ++m_watches;
     auto events = eventsAfter(kind, since);
     while (events.empty() && clock::now() < limit) {
@@ -217,17 +218,17 @@
     return events;
 }
 
-auto platform_standin::waitForWrite(clock::time_point limit) -> nothing_awaitable
+auto platform_standin::waitForWrite(clock::time_point limit) -> void_awaitable
 {
-    auto timer = asio::steady_timer(m_written.get_executor(), limit);
+    auto timer = asio::steady_timer(m_writeSignal.get_executor(), limit);
     timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            m_written.cancel();
+            m_writeSignal.cancel();
         }
     });
     auto ignored = boost::system::error_code();
     auto token = asio::redirect_error(asio::use_awaitable, ignored);
-    co_await m_written.async_wait(token);
+    co_await m_writeSignal.async_wait(token);
 }
 
 auto platform_standin::listInstances() -> http_reply
@@ -235,18 +236,18 @@
     ++m_reads;
     const auto *lag = m_shared.faults.find(fault_kind::listLag);
     const auto shownAt = clock::now() - std::chrono::milliseconds(lag == nullptr ? 0 : lag->ms);
-    auto rows = json::array();
+    auto listed = json::array();
     auto revision = std::uint64_t(0);
     for (const auto &version : m_instances) {
         ++revision;
         if (version.since <= shownAt) {
-            rows = version.instances;
+            listed = version.instances;
         }
     }
     auto entries = json::array();
-    for (const auto &row : rows) {
-        const auto &name = row.at("name").as_string();
-        auto write = object_write{ "instances", std::string(name), revision, json::serialize(row), false };
+    for (const auto &instance : listed) {
+        const auto &name = instance.at("name").as_string();
+        auto write = object_write{ "instances", std::string(name), revision, json::serialize(instance), false };
         entries.push_back(toJson(write));
     }
     return replyWith(http::status::ok,
--- a/tests/standins/platform_standin.h
+++ b/tests/standins/platform_standin.h
@@ -7,25 +7,27 @@
 
 namespace standins {
 
-/// Settings of the platform's stand-in.
+/// Settings of a platform stand-in.
 struct platform_standin_options
 {
-    std::uint64_t watchHistory = 10'000; ///< Writes that a watch can still be started from.
-    std::size_t pageSize = 500; ///< Objects in one page of a list.
+    std::uint64_t watchHistory = 10'000; ///< Number of past writes that a watch can start from; older ones are gone.
+    std::size_t pageSize = 500; ///< Maximum number of objects in one page of a list.
 };
 
-/// Stand-in of the platform's metadata store, whose kind `instances` is the instance list. Not thread safe.
+/// Simulates the platform's metadata store: versioned objects with conditional writes, lists and watches. Objects of
+/// the kind `instances` are the instance list, which tests set by /control/instances. Not thread safe.
 class platform_standin
 {
 public:
     platform_standin(boost::asio::io_context &context, standin_context &shared, platform_standin_options options);
 
-    auto handle(http_exchange &exchange) -> nothing_awaitable;
+    auto handle(http_exchange &exchange) -> void_awaitable;
     auto control(http_exchange &exchange, const boost::json::value &document) -> http_reply;
 
 private:
     using clock = std::chrono::steady_clock;
 
+    /// The instance list from a point in time on.
     struct instances_version
     {
         clock::time_point since;
@@ -36,9 +38,10 @@
     auto readPage(const http_exchange &exchange, const std::string &kind) -> http_reply;
     auto writeObject(const execution_entry &entry, const std::string &kind, const std::string &name,
                      const std::string &revisionInPath) -> http_reply;
+    /// Revision at which reads are answered: the current one, or an older one with the fault stale_reads.
     auto readRevision(const fault_subject &subject) -> std::uint64_t;
-    auto watch(http_exchange &exchange, const std::string &kind) -> nothing_awaitable;
-    auto waitForWrite(clock::time_point limit) -> nothing_awaitable;
+    auto watch(http_exchange &exchange, const std::string &kind) -> void_awaitable;
+    auto waitForWrite(clock::time_point limit) -> void_awaitable;
     auto eventsAfter(const std::string &kind, std::uint64_t since) const -> boost::json::array;
     auto listInstances() -> http_reply;
     auto statistics() const -> http_reply;
@@ -46,11 +49,11 @@
     standin_context &m_shared;
     platform_standin_options m_options;
     object_log m_log;
-    boost::asio::steady_timer m_written; ///< Cancelled at every write to wake the watches.
+    boost::asio::steady_timer m_writeSignal; ///< Never expires; cancelled at every write to wake the watches.
     std::deque<instances_version> m_instances;
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
-    std::uint64_t m_watches = 0;
+    std::uint64_t m_watches = 0; ///< Watch requests that are open.
 };
 
 } // namespace standins
--- a/tests/standins/prefix_cache.cpp
+++ b/tests/standins/prefix_cache.cpp
@@ -2,7 +2,7 @@
 
 namespace standins {
 
-auto prefix_cache::use(const std::vector<chat_message> &messages) -> std::uint64_t
+auto prefix_cache::lookupAndInsert(const std::vector<chat_message> &messages) -> std::uint64_t
 {
     auto hash = std::uint64_t(0);
     auto cached = std::uint64_t(0);
@@ -14,12 +14,12 @@
         hit = hit && found != m_byHash.end();
         cached += hit ? tokens : 0;
         if (found != m_byHash.end()) {
-            m_recent.splice(m_recent.begin(), m_recent, found->second);
+            m_prefixes.splice(m_prefixes.begin(), m_prefixes, found->second);
             continue;
         }
-        m_recent.push_front({ hash, tokens });
-        m_byHash[hash] = m_recent.begin();
-        m_held += tokens;
+        m_prefixes.push_front({ hash, tokens });
+        m_byHash[hash] = m_prefixes.begin();
+        m_cachedTokens += tokens;
     }
     evict();
     return cached;
@@ -27,10 +27,10 @@
 
 auto prefix_cache::evict() -> void
 {
-    while (m_held > m_capacity) {
-        m_held -= m_recent.back().tokens;
-        m_byHash.erase(m_recent.back().hash);
-        m_recent.pop_back();
+    while (m_cachedTokens > m_capacity) {
+        m_cachedTokens -= m_prefixes.back().tokens;
+        m_byHash.erase(m_prefixes.back().hash);
+        m_prefixes.pop_back();
     }
 }
 
--- a/tests/standins/routed_standin.cpp
+++ b/tests/standins/routed_standin.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Events of every stream.
+/// Number of events in each stream.
 constexpr auto streamLength = 12;
 
-auto refusalOf(http::status status) -> http_reply
+auto notExecutedReply(http::status status) -> http_reply
 {
     auto answer = http_reply();
     answer.status = status;
@@ -27,34 +27,34 @@
 {
 }
 
-auto routed_standin::handle(http_exchange &exchange) -> nothing_awaitable
+auto routed_standin::handle(http_exchange &exchange) -> void_awaitable
 {
     const auto id = exchange.header("X-Attempt-Id");
     if (exchange.header("X-Expect-Instance") != m_options.name) {
-        const auto answer = refusalOf(http::status::misdirected_request);
+        const auto answer = notExecutedReply(http::status::misdirected_request);
         co_await exchange.reply(answer);
         co_return;
     }
     if (m_shared.faults.take(fault_kind::refuse, exchange.subject(id))) {
-        const auto answer = refusalOf(http::status::service_unavailable);
+        const auto answer = notExecutedReply(http::status::service_unavailable);
         co_await exchange.reply(answer);
         co_return;
     }
-    note(exchange, "started");
+    recordExecution(exchange, "started");
     if (exchange.path().ends_with("stream")) {
-        co_await answerStream(exchange);
+        co_await answerWithStream(exchange);
     } else {
-        co_await answerWhole(exchange);
+        co_await answerCall(exchange);
     }
 }
 
-auto routed_standin::answerWhole(http_exchange &exchange) -> nothing_awaitable
+auto routed_standin::answerCall(http_exchange &exchange) -> void_awaitable
 {
     if (m_options.callMs > 0) {
         co_await sleepFor(m_options.callMs);
     }
     const auto execute = std::function<http_reply()>([this, &exchange] {
-        note(exchange, "finished");
+        recordExecution(exchange, "finished");
         auto body = boost::json::object();
         body["served_by"] = m_options.name;
         body["method"] = exchange.method();
@@ -73,7 +73,7 @@
     co_await executeAndReply(exchange, m_shared, exchange.header("X-Attempt-Id"), execute);
 }
 
-auto routed_standin::answerStream(http_exchange &exchange) -> nothing_awaitable
+auto routed_standin::answerWithStream(http_exchange &exchange) -> void_awaitable
 {
     const auto die = m_shared.faults.take(fault_kind::die, exchange.subject(exchange.header("X-Attempt-Id")));
     const auto after = exchange.header("Last-Event-Id");
@@ -87,16 +87,16 @@
             const auto event = "id: " + std::to_string(number) + "\ndata: piece " + std::to_string(number) + "\n\n";
             if (die && sent++ == die->events) {
                 const auto half = event.substr(0, event.size() / 2);
-                co_await exchange.writePiece(half);
+                co_await exchange.writeChunk(half);
                 exchange.close();
                 co_return;
             }
-            co_await exchange.writePiece(event);
+            co_await exchange.writeChunk(event);
         }
         co_await exchange.finishStream();
-        note(exchange, "finished");
+        recordExecution(exchange, "finished");
     } catch (const boost::system::system_error &) {
-        note(exchange, "cancelled");
+        recordExecution(exchange, "cancelled");
         exchange.close();
     }
 }
@@ -106,7 +106,7 @@
     return { { "X-Attempt-Id", exchange.header("X-Attempt-Id") }, { "X-Response-Seal", "seal-" + m_options.name } };
 }
 
-auto routed_standin::note(const http_exchange &exchange, std::string state) -> void
+auto routed_standin::recordExecution(const http_exchange &exchange, std::string state) -> void
 {
     auto entry = exchange.entry();
     entry.requestId = exchange.header("X-Attempt-Id");
--- a/tests/standins/service_standin.cpp
+++ b/tests/standins/service_standin.cpp
@@ -12,10 +12,10 @@
 {
 }
 
-auto service_standin::handle(http_exchange &exchange) -> nothing_awaitable
+auto service_standin::handle(http_exchange &exchange) -> void_awaitable
 {
     const auto entry = exchange.entry();
-    if (co_await appliesBefore(exchange, m_shared, entry.requestId)) {
+    if (co_await applyRequestFaults(exchange, m_shared, entry.requestId)) {
         co_return;
     }
     if (m_options.callMs > 0) {
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -48,22 +48,22 @@
 child_process::child_process(const std::vector<std::string> &arguments, const std::string &logFile,
                              const std::map<std::string, std::string> &environment, child_output output)
 {
-    int ends[2] = { -1, -1 };
-    if (pipe2(ends, O_CLOEXEC) != 0) {
-        throw std::runtime_error("pipe");
+    int pipeEnds[2] = { -1, -1 };
+    if (pipe2(pipeEnds, O_CLOEXEC) != 0) {
+        throw std::runtime_error("cannot create a pipe for a child process");
     }
     auto actions = posix_spawn_file_actions_t();
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    const auto target = output == child_output::pipe ? ends[1] : STDERR_FILENO;
+    const auto target = output == child_output::pipe ? pipeEnds[1] : STDERR_FILENO;
     posix_spawn_file_actions_adddup2(&actions, target, STDOUT_FILENO);
     auto texts = arguments;
     auto variables = environmentWith(environment);
     const auto failed = posix_spawn(&m_pid, texts[0].c_str(), &actions, nullptr, pointersOf(texts).data(),
                                     pointersOf(variables).data());
     posix_spawn_file_actions_destroy(&actions);
-    close(ends[1]);
-    m_output = ends[0];
+    close(pipeEnds[1]);
+    m_output = pipeEnds[0];
     if (failed != 0) {
         close(m_output);
         throw std::runtime_error("cannot start " + texts[0]);
@@ -98,9 +98,9 @@
             m_buffer.erase(0, end + 1);
             return line;
         }
-        auto wanted = pollfd{ m_output, POLLIN, 0 };
+        auto readable = pollfd{ m_output, POLLIN, 0 };
         char bytes[4096];
-        if (poll(&wanted, 1, timeoutMs) <= 0) {
+        if (poll(&readable, 1, timeoutMs) <= 0) {
             return std::nullopt;
         }
         const auto count = read(m_output, bytes, sizeof(bytes));
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -8,18 +8,18 @@
 
 namespace marjoramloom::test {
 
-/// Where the standard output of a child_process goes.
+/// Destination of a child_process's standard output.
 enum class child_output {
-    pipe, ///< To the test, which reads it.
-    logFile, ///< To the same file as its standard error.
+    pipe, ///< Pipe to the test; see readLine() and readAll().
+    logFile, ///< Log file, together with the standard error.
 };
 
-/// A process that a test started; killed and reaped when this object ends. Not thread safe.
+/// A process started by a test. The destructor kills and reaps it. Not thread safe.
 class child_process
 {
 public:
-    /// Starts \p arguments[0] with \p environment added; its standard error goes to \p logFile, its standard output
-    /// where \p output says. Precondition: the program exists.
+    /// Starts \p arguments[0] with \p environment added to the environment. Standard error is appended to \p logFile;
+    /// standard output goes to \p output. Throws std::runtime_error if the process cannot be started.
     explicit child_process(const std::vector<std::string> &arguments, const std::string &logFile = "/dev/null",
                            const std::map<std::string, std::string> &environment = {},
                            child_output output = child_output::pipe);
@@ -29,16 +29,17 @@
     auto operator=(const child_process &) -> child_process & = delete;
     auto operator=(child_process &&) -> child_process & = delete;
 
-    /// The next line of its standard output, or nothing at its end or after \p timeoutMs.
+    /// Reads the next line of standard output. No value at its end, or if nothing arrives for \p timeoutMs.
     auto readLine(int timeoutMs) -> std::optional<std::string>;
 
-    /// All of its standard output up to its end.
+    /// Reads standard output to its end.
     auto readAll() -> std::string;
 
     /// Sends a signal, such as SIGKILL, SIGSTOP or SIGTERM.
     auto signal(int number) -> void;
 
-    /// Waits for its end. Returns its exit code, or nothing after \p timeoutMs; a signal's number comes as negative.
+    /// Waits for the process to exit. Returns its exit code, or the negative number of the signal that killed it; no
+    /// value after \p timeoutMs.
     auto waitForExit(int timeoutMs) -> std::optional<int>;
 
     [[nodiscard]] auto running() -> bool;
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -30,8 +30,8 @@
     std::ofstream(path) << text;
 }
 
-auto instanceRow(const std::string &name, const std::string &dataCentre, const char *role, bool leaving,
-                 const std::string &address) -> json::object
+auto instanceEntry(const std::string &name, const std::string &dataCentre, const char *role, bool leaving,
+                   const std::string &address) -> json::object
 {
     return {
         { "name", name },       { "data_centre", dataCentre },
@@ -142,13 +142,14 @@
 {
     startStandins();
     startRouters();
-    listInstances();
-    if (apply(m_routers.front(), firstObjects()) != 0) {
+    publishInstances();
+    if (apply(m_routers.front(), initialObjects()) != 0) {
         throw std::runtime_error("the first configuration was not accepted");
     }
     const auto ready = waitUntil(startTimeoutMs, [&] {
         for (const auto &router : m_routers) {
-            if (sequenceAt(router) < 1 || httpCall(router.callers, { "GET", "/readyz", {}, "" }).status != 200) {
+            if (configurationSequenceAt(router) < 1
+                || httpCall(router.callers, { "GET", "/readyz", {}, "" }).status != 200) {
                 return false;
             }
         }
@@ -178,7 +179,7 @@
 {
     m_platform = std::make_unique<standin>("platform", std::vector<std::string>{ "platform" }, file("platform.log"));
     for (const auto &dataCentre : m_plan.dataCentres) {
-        for (auto index = 1; index <= m_plan.enginesEach; ++index) {
+        for (auto index = 1; index <= m_plan.enginesPerDataCentre; ++index) {
             const auto name = dataCentre + "-engine-" + std::to_string(index);
             const auto arguments = std::vector<std::string>{
                 "engine",
@@ -191,7 +192,7 @@
             m_engines.push_back(std::make_unique<standin>(name, arguments, file(name + ".log")));
             m_engineCentres.push_back(dataCentre);
         }
-        for (auto index = 1; index <= m_plan.orderServersEach; ++index) {
+        for (auto index = 1; index <= m_plan.orderServersPerDataCentre; ++index) {
             const auto name = dataCentre + "-orders-" + std::to_string(index);
             const auto arguments =
                 std::vector<std::string>{ "service", "--name=" + name, "--call-ms=" + std::to_string(m_plan.callMs) };
@@ -207,7 +208,7 @@
 auto fleet::startRouters() -> void
 {
     for (const auto &dataCentre : m_plan.dataCentres) {
-        for (auto index = 1; index <= m_plan.routersEach; ++index) {
+        for (auto index = 1; index <= m_plan.routersPerDataCentre; ++index) {
             auto router = router_handle();
             router.name = dataCentre + "-" + std::to_string(index);
             router.dataCentre = dataCentre;
@@ -233,13 +234,14 @@
          << router.peers << "\"\n[operators]\nkey_hash = \"" << sha256Hex(operatorKey) << "\"\n"
          << "[platform]\naddresses = [\"" << m_platform->address() << "\"]\ntimeout_ms = 1000\n"
          << "[peers]\nheartbeat_ms = 200\ntimeout_ms = 1000\n";
-    if (m_plan.peerAddressSeen) {
-        text << "address = \"" << m_plan.peerAddressSeen(router.peers) << "\"\n";
+    if (m_plan.advertisedPeerAddress) {
+        text << "address = \"" << m_plan.advertisedPeerAddress(router.peers) << "\"\n";
     }
     text << "seeds = [";
     for (const auto &other : m_routers) {
         if (other.name != router.name) {
-            text << "\"" << (m_plan.peerAddressSeen ? m_plan.peerAddressSeen(other.peers) : other.peers) << "\", ";
+            text << "\"" << (m_plan.advertisedPeerAddress ? m_plan.advertisedPeerAddress(other.peers) : other.peers)
+                 << "\", ";
         }
     }
     text << "]\n" << m_plan.settings;
@@ -272,7 +274,7 @@
     }
 }
 
-auto fleet::firstObjects() const -> std::string
+auto fleet::initialObjects() const -> std::string
 {
     auto text = std::string(profilesAndServices);
     for (const auto &account : m_plan.accounts) {
@@ -281,7 +283,7 @@
     }
     for (auto index = std::size_t(0); index < m_engines.size(); ++index) {
         const auto &engine = *m_engines[index];
-        const auto service = index % 2 == 1 && m_plan.enginesEach > 1 ? "review" : "chat";
+        const auto service = index % 2 == 1 && m_plan.enginesPerDataCentre > 1 ? "review" : "chat";
         text += serverObject(engine.name(), service, m_engineCentres[index], engine.address(), m_plan.slots);
     }
     for (auto index = std::size_t(0); index < m_orderServers.size(); ++index) {
@@ -308,33 +310,33 @@
 
 auto fleet::apply(const router_handle &router, const std::string &toml) -> int
 {
-    static auto applied = std::atomic<int>(0);
-    const auto path = file("objects-" + std::to_string(++applied) + ".toml");
+    static auto fileCount = std::atomic<int>(0);
+    const auto path = file("objects-" + std::to_string(++fileCount) + ".toml");
     writeFile(path, toml);
     return command(router, { "apply", path });
 }
 
-auto fleet::listInstances(const std::vector<std::string> &leaving) -> void
+auto fleet::publishInstances(const std::vector<std::string> &leaving) -> void
 {
     const auto isLeaving = [&](const std::string &name) {
         return std::find(leaving.begin(), leaving.end(), name) != leaving.end();
     };
-    auto rows = json::array();
+    auto instances = json::array();
     for (const auto &router : m_routers) {
-        const auto address = m_plan.peerAddressSeen ? m_plan.peerAddressSeen(router.peers) : router.peers;
-        rows.push_back(instanceRow(router.name, router.dataCentre, "router", isLeaving(router.name), address));
+        const auto address = m_plan.advertisedPeerAddress ? m_plan.advertisedPeerAddress(router.peers) : router.peers;
+        instances.push_back(instanceEntry(router.name, router.dataCentre, "router", isLeaving(router.name), address));
     }
     for (auto index = std::size_t(0); index < m_engines.size(); ++index) {
         const auto &name = m_engines[index]->name();
-        rows.push_back(
-            instanceRow(name, m_engineCentres[index], "backend_server", isLeaving(name), m_engines[index]->address()));
+        instances.push_back(instanceEntry(name, m_engineCentres[index], "backend_server", isLeaving(name),
+                                          m_engines[index]->address()));
     }
     for (auto index = std::size_t(0); index < m_orderServers.size(); ++index) {
         const auto &name = m_orderServers[index]->name();
-        rows.push_back(instanceRow(name, m_orderCentres[index], "backend_server", isLeaving(name),
-                                   m_orderServers[index]->address()));
+        instances.push_back(instanceEntry(name, m_orderCentres[index], "backend_server", isLeaving(name),
+                                          m_orderServers[index]->address()));
     }
-    const auto body = json::serialize(json::object{ { "instances", std::move(rows) } });
+    const auto body = json::serialize(json::object{ { "instances", std::move(instances) } });
     httpCall(m_platform->address(), { "POST", "/control/instances", {}, body });
 }
 
@@ -367,7 +369,7 @@
     return httpCall(router.callers, request);
 }
 
-auto fleet::sequenceAt(const router_handle &router) -> std::int64_t
+auto fleet::configurationSequenceAt(const router_handle &router) -> std::int64_t
 {
     auto request = http_request();
     request.target = "/v1/status";
@@ -434,7 +436,7 @@
 
 auto expectedText(const std::string &prompt) -> std::string
 {
-    return standins::wholeAnswer({ { "user", prompt } }).text();
+    return standins::completeAnswer({ { "user", prompt } }).text();
 }
 
 auto answerText(const http_answer &answer) -> std::string
@@ -447,21 +449,22 @@
 
 auto freeAddress() -> std::string
 {
-    // Below the ports that the system gives to outgoing connections, which may take any other between now and its use.
+    // The range lies below the system's ephemeral ports, because an outgoing connection could take such a port before
+    // the router listens on it.
     constexpr auto firstPort = 10'000;
     constexpr auto portCount = 20'000;
     constexpr auto stride = 97;
-    static auto tried = std::atomic<int>(getpid() * stride % portCount);
+    static auto nextPortOffset = std::atomic<int>(getpid() * stride % portCount);
     auto context = boost::asio::io_context();
     while (true) {
-        const auto port = firstPort + tried++ % portCount;
-        const auto wanted =
+        const auto port = firstPort + nextPortOffset++ % portCount;
+        const auto candidate =
             boost::asio::ip::tcp::endpoint(boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port));
-        auto acceptor = boost::asio::ip::tcp::acceptor(context, wanted.protocol());
+        auto acceptor = boost::asio::ip::tcp::acceptor(context, candidate.protocol());
         auto error = boost::system::error_code();
-        acceptor.bind(wanted, error);
+        acceptor.bind(candidate, error);
         if (!error) {
-            return endpointText(wanted);
+            return endpointText(candidate);
         }
     }
 }
@@ -477,8 +480,8 @@
 
 auto makeTestFolder() -> std::string
 {
-    static auto made = std::atomic<int>(0);
-    const auto name = "marjoramloom-test-" + std::to_string(getpid()) + "-" + std::to_string(++made);
+    static auto folderCount = std::atomic<int>(0);
+    const auto name = "marjoramloom-test-" + std::to_string(getpid()) + "-" + std::to_string(++folderCount);
     const auto folder = std::filesystem::temp_directory_path() / name;
     std::filesystem::create_directories(folder);
     return folder.string();
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -11,7 +11,7 @@
 
 namespace marjoramloom::test {
 
-/// A stand-in of an outside system, as a process.
+/// A process that simulates an external system (see tests/standins).
 class standin
 {
 public:
@@ -22,10 +22,11 @@
     [[nodiscard]] auto address() const -> const std::string &;
     [[nodiscard]] auto process() -> child_process &;
 
-    /// Replaces its faults: a JSON list such as `[{"kind":"delay","ms":200}]`; `[]` clears them.
+    /// Replaces the faults by a JSON list such as `[{"kind":"delay","ms":200}]`; `[]` clears them. Throws
+    /// std::runtime_error if the list is invalid.
     auto setFaults(const std::string &list) -> void;
 
-    /// Everything that it executed, in order.
+    /// The stand-in's execution record, in order.
     [[nodiscard]] auto record() const -> std::vector<boost::json::object>;
 
 private:
@@ -34,41 +35,43 @@
     std::string m_address;
 };
 
-/// A router as a process, with its addresses.
+/// A router process and its files. Addresses have the form IP:port.
 struct router_handle
 {
     std::string name;
     std::string dataCentre;
-    std::string callers;
-    std::string operators;
-    std::string peers;
+    std::string callers; ///< Address of the listener for callers.
+    std::string operators; ///< Address of the listener for operators.
+    std::string peers; ///< Address of the listener for other routers.
     std::string settingsFile;
     std::string logFile;
     std::unique_ptr<child_process> process;
 };
 
-/// What a fleet consists of.
+/// Size and settings of a fleet.
 struct fleet_plan
 {
     std::vector<std::string> dataCentres{ "north", "south" };
-    int routersEach = 1;
-    int enginesEach = 2;
-    int orderServersEach = 1;
+    int routersPerDataCentre = 1;
+    int enginesPerDataCentre = 2;
+    int orderServersPerDataCentre = 1;
     int slots = 4;
     double firstTokenMs = 5;
     double tokenMs = 1;
-    int callMs = 0;
-    std::string settings; ///< Added to each router's settings file.
-    std::string objects; ///< Added to the first configuration, as TOML.
-    std::function<std::string(const std::string &address)>
-        peerAddressSeen; ///< Where routers reach another one's peer port.
+    int callMs = 0; ///< Duration of an order's call.
+    std::string settings; ///< TOML that is appended to each router's settings file.
+    std::string objects; ///< TOML that is appended to the initial configuration.
+    /// Optional. Returns the address at which other routers connect to the peer listener at \p address, such as a
+    /// relay.
+    std::function<std::string(const std::string &address)> advertisedPeerAddress;
     std::vector<std::string> accounts{ "alpha", "beta", "gamma" };
 };
 
-/// Stand-ins and routers on loopback, with a first configuration in force everywhere.
+/// Stand-ins and routers as processes on loopback, with an initial configuration that is active on all routers.
 ///
 /// Services: model "chat" (profile "quick"), model "review" (profile "lengthy"), plain "stock" (repeatable) and plain
-/// "orders" (not repeatable). Every account's key is "key-<account>". Everything ends with this object.
+/// "orders" (not repeatable). Every account's key is "key-<account>". The destructor stops all processes, and
+/// deletes their files unless MARJORAMLOOM_KEEP is set.
 class fleet
 {
 public:
@@ -82,40 +85,42 @@
     [[nodiscard]] auto orderServers() -> std::vector<std::unique_ptr<standin>> &;
     [[nodiscard]] auto routers() -> std::vector<router_handle> &;
 
-    /// Starts the router again, with a new process; waits until it is ready where \p untilReady.
+    /// Kills the router's process and starts a new one. With \p untilReady, waits until the router is ready.
     auto restart(router_handle &router, bool untilReady = true) -> void;
 
-    /// Runs the command line against \p router; its output goes to \p output. Returns the exit code.
+    /// Runs the command line tool against \p router and stores its output in \p output. Returns the exit code, -1 if it
+    /// does not exit in time.
     auto command(const router_handle &router, std::vector<std::string> arguments, std::string *output = nullptr) -> int;
 
-    /// Applies configuration objects, given as TOML, through \p router. Returns the command's exit code.
+    /// Applies configuration objects in TOML by the command line tool through \p router. Returns its exit code.
     auto apply(const router_handle &router, const std::string &toml) -> int;
 
-    /// Sets the platform's instance list: all routers and servers live, those named leaving.
-    auto listInstances(const std::vector<std::string> &leaving = {}) -> void;
+    /// Writes the platform's instance list with all routers, engines and order servers. Those named in \p leaving are
+    /// listed as leaving, the others as live.
+    auto publishInstances(const std::vector<std::string> &leaving = {}) -> void;
 
-    /// A completions call through \p router. The prompt may ask for "tokens=N".
+    /// Sends a completions request through \p router. "tokens=N" in the prompt sets the length of the answer.
     auto chat(const router_handle &router, const std::string &account, const std::string &prompt, bool stream = false,
               const std::string &model = "chat") -> http_answer;
 
-    /// A call to the plain service \p service.
+    /// Sends a request to the plain service \p service through \p router.
     auto callService(const router_handle &router, const std::string &account, const std::string &service,
                      const std::string &path, const std::string &body, const std::string &idempotencyKey = {})
         -> http_answer;
 
-    /// Sequence of the configuration at \p router; -1 where it does not answer.
-    [[nodiscard]] auto sequenceAt(const router_handle &router) -> std::int64_t;
+    /// Sequence of the active configuration of \p router; -1 if the router does not answer.
+    [[nodiscard]] auto configurationSequenceAt(const router_handle &router) -> std::int64_t;
 
-    /// A counter or gauge of \p router by its full name, 0 where absent.
+    /// Value of the counter or gauge of \p router with this full name; 0 if it does not exist.
     [[nodiscard]] auto metric(const router_handle &router, const std::string &name) -> double;
 
-    /// A file of the fleet's own folder.
+    /// Path of the file \p name in the fleet's folder.
     [[nodiscard]] auto file(const std::string &name) const -> std::string;
 
 private:
     auto startStandins() -> void;
     auto startRouters() -> void;
-    auto firstObjects() const -> std::string;
+    auto initialObjects() const -> std::string;
     auto writeSettings(router_handle &router) -> void;
     auto start(router_handle &router) -> void;
 
@@ -123,29 +128,30 @@
     std::string m_folder;
     std::unique_ptr<standin> m_platform;
     std::vector<std::unique_ptr<standin>> m_engines;
-    std::vector<std::string> m_engineCentres;
+    std::vector<std::string> m_engineCentres; ///< Data centre of each engine.
     std::vector<std::unique_ptr<standin>> m_orderServers;
-    std::vector<std::unique_ptr<standin>> m_stockServers; ///< Each in the data centre of the order server beside it.
-    std::vector<std::string> m_orderCentres;
+    /// Each is in the data centre of the order server with the same index.
+    std::vector<std::unique_ptr<standin>> m_stockServers;
+    std::vector<std::string> m_orderCentres; ///< Data centre of each order server.
     std::vector<router_handle> m_routers;
 };
 
-/// Waits until \p condition holds, looking every few milliseconds. False after \p timeoutMs.
+/// Polls \p condition every few milliseconds until it is true. Returns false after \p timeoutMs.
 auto waitUntil(int timeoutMs, const std::function<bool()> &condition) -> bool;
 
-/// The answer that an engine gives to \p prompt, as text.
+/// Text of the answer that an engine stand-in generates for \p prompt.
 auto expectedText(const std::string &prompt) -> std::string;
 
-/// The text of a whole answer that was not streamed, empty where there is none.
+/// Text of a model's answer that was not streamed; empty if the body has none.
 auto answerText(const http_answer &answer) -> std::string;
 
-/// A port of the loopback address that is free now.
+/// Loopback address with a port that is currently free. Each call of a process returns another port.
 auto freeAddress() -> std::string;
 
-/// The value of an environment variable that ctest sets; throws where it is missing.
+/// Value of an environment variable that ctest sets. Throws std::runtime_error if it is not set.
 auto fromEnvironment(const char *name) -> std::string;
 
-/// A new empty folder for the files of one test.
+/// Creates an empty folder for the files of one test and returns its path.
 auto makeTestFolder() -> std::string;
 
 } // namespace marjoramloom::test
--- a/tests/support/gateway_fleet.cpp
+++ b/tests/support/gateway_fleet.cpp
@@ -14,7 +14,7 @@
 constexpr auto host = "desk.example";
 constexpr auto serviceName = "desk";
 
-auto routeRow(const std::string &prefix, const std::string &kind, int attempts, bool anonymous, bool resumable)
+auto routeEntry(const std::string &prefix, const std::string &kind, int attempts, bool anonymous, bool resumable)
     -> json::object
 {
     return json::object{
@@ -97,7 +97,7 @@
 auto gateway_fleet::writeSettings(const router_handle &router, int number) -> void
 {
     const auto store =
-        m_plan.storeAddressSeen ? m_plan.storeAddressSeen(number, m_store->address()) : m_store->address();
+        m_plan.storeAddressForRouter ? m_plan.storeAddressForRouter(number, m_store->address()) : m_store->address();
     auto text = std::ofstream(router.settingsFile);
     text << "[instance]\nname = \"" << router.name << "\"\ndata_centre = \"north\"\nthreads = 1\n"
          << "[listen]\ncallers = \"" << router.callers << "\"\noperators = \"" << router.operators << "\"\npeers = \""
@@ -115,7 +115,7 @@
                                                      child_output::logFile);
     constexpr auto startTimeoutMs = 15'000;
     if (untilReady && !waitUntil(startTimeoutMs, [&] { return isReady(router); })) {
-        throw std::runtime_error(router.name + " is not ready: " + logOf(router));
+        throw std::runtime_error(router.name + " is not ready: " + readLog(router));
     }
 }
 
@@ -130,10 +130,11 @@
     const auto spec = json::object{
         { "version", ++m_version },
         { "routes",
-          json::array{
-              routeRow("/read/", "idempotent", 2, false, false), routeRow("/post/", "non_idempotent", 1, false, false),
-              routeRow("/talk/", "streaming", 2, false, true), routeRow("/once/", "streaming", 1, false, false),
-              routeRow("/open/", "idempotent", 2, true, false) } },
+          json::array{ routeEntry("/read/", "idempotent", 2, false, false),
+                       routeEntry("/post/", "non_idempotent", 1, false, false),
+                       routeEntry("/talk/", "streaming", 2, false, true),
+                       routeEntry("/once/", "streaming", 1, false, false),
+                       routeEntry("/open/", "idempotent", 2, true, false) } },
         { "services",
           json::array{ json::object{ { "name", serviceName },
                                      { "max_conns", 100 },
@@ -150,17 +151,17 @@
     return writeObject("config", "main", spec);
 }
 
-auto gateway_fleet::writeServer(std::size_t index, const std::string &state, int run) -> void
+auto gateway_fleet::writeServer(std::size_t index, const std::string &state, int incarnation) -> void
 {
     const auto &server = *m_servers[index];
     const auto spec = json::object{
         { "service", serviceName },
-        { "address", m_plan.serverAddressSeen ? m_plan.serverAddressSeen(server.address()) : server.address() },
+        { "address", m_plan.listedServerAddress ? m_plan.listedServerAddress(server.address()) : server.address() },
         { "zone", "north" },
         { "version", "v1" },
         { "slots", 8 },
         { "state", state },
-        { "born", 1'700'000'000'000 + index + static_cast<std::size_t>(run) * 1'000 },
+        { "born", 1'700'000'000'000 + index + static_cast<std::size_t>(incarnation) * 1'000 },
     };
     writeObject("servers", server.name(), spec);
 }
@@ -190,7 +191,7 @@
     return httpCall(router.callers, request);
 }
 
-auto gateway_fleet::countRuns(const std::string &id, const std::string &state) -> int
+auto gateway_fleet::countExecutions(const std::string &id, const std::string &state) -> int
 {
     auto count = 0;
     for (const auto &server : m_servers) {
@@ -206,7 +207,7 @@
     return httpCall(router.operators, { "GET", "/readyz", {}, "" }).status == 200;
 }
 
-auto gateway_fleet::logOf(const router_handle &router) -> std::string
+auto gateway_fleet::readLog(const router_handle &router) -> std::string
 {
     auto text = std::stringstream();
     text << std::ifstream(router.logFile).rdbuf();
--- a/tests/support/gateway_fleet.h
+++ b/tests/support/gateway_fleet.h
@@ -11,24 +11,28 @@
 
 auto sleepMs(int milliseconds) -> void;
 
-/// What a gateway_fleet consists of.
+/// Size and settings of a gateway_fleet.
 struct gateway_plan
 {
     int routers = 2;
-    int servers = 2; ///< Of each service.
-    int callMs = 0;
-    int eventMs = 5;
-    int revocationMs = 5'000;
-    double graceSeconds = 8;
-    /// Where a router (by its number) reaches the store, and all routers a server, that listens at the address given.
-    std::function<std::string(int router, const std::string &address)> storeAddressSeen;
-    std::function<std::string(const std::string &address)> serverAddressSeen;
+    int servers = 2; ///< Number of backend servers; all belong to one service.
+    int callMs = 0; ///< Duration of a call that is not a stream.
+    int eventMs = 5; ///< Time before each event of a stream.
+    int revocationMs = 5'000; ///< Setting key_revocation_ms of the routers.
+    double graceSeconds = 8; ///< Setting grace_seconds of the routers.
+    /// Optional. Returns the address at which the router with this index connects to the store, which listens at
+    /// \p address.
+    std::function<std::string(int router, const std::string &address)> storeAddressForRouter;
+    /// Optional. Returns the address that the store lists for the backend server that listens at \p address.
+    std::function<std::string(const std::string &address)> listedServerAddress;
 };
 
-/// Routers that take their routes from the platform's store, with stand-ins of the store and of backend servers.
+/// Gateway routers, which read their routes from the platform's store, with stand-ins of the store and of backend
+/// servers.
 ///
-/// Host "desk.example". Routes: "/read/" (repeatable, 2 servers), "/post/" (at most once), "/talk/" (stream that may be
-/// resumed, 2 servers), "/once/" (stream that may not), "/open/" (repeatable, no key). Keys "key-alpha" and "key-beta".
+/// Host "desk.example". Routes: "/read/" (idempotent, 2 attempts), "/post/" (not idempotent), "/talk/" (resumable
+/// stream, 2 attempts), "/once/" (stream that is not resumable), "/open/" (idempotent, 2 attempts, no key). Keys
+/// "key-alpha" and "key-beta".
 class gateway_fleet
 {
 public:
@@ -41,33 +45,34 @@
     [[nodiscard]] auto servers() -> std::vector<std::unique_ptr<standin>> &;
     [[nodiscard]] auto routers() -> std::vector<router_handle> &;
 
-    /// Writes the configuration with the given keys of account alpha, under the next version.
+    /// Writes the configuration with these keys for account alpha, as the next version. Returns whether the store
+    /// acknowledged it.
     auto writeConfiguration(const std::vector<std::string> &alphaKeys) -> bool;
 
-    /// Writes the entry of a server anew, as of its run number \p run.
-    auto writeServer(std::size_t index, const std::string &state, int run = 0) -> void;
+    /// Writes a backend server's entry in the store. Each \p incarnation of the server has another start time (`born`).
+    auto writeServer(std::size_t index, const std::string &state, int incarnation = 0) -> void;
 
-    /// Writes any object; false where the store did not acknowledge it.
+    /// Creates or updates an object in the store. Returns whether the store acknowledged it.
     auto writeObject(const std::string &kind, const std::string &name, const boost::json::value &spec) -> bool;
 
-    /// A request through \p router, with the id \p id.
+    /// Sends a request with the X-Attempt-Id \p id through \p router.
     auto call(const router_handle &router, const std::string &path, const std::string &id,
               const std::string &method = "GET", const std::string &key = "key-alpha", const std::string &body = {})
         -> http_answer;
 
-    /// Lines of the servers' records with that id and state.
-    auto countRuns(const std::string &id, const std::string &state = "started") -> int;
+    /// Number of entries with this request id and state in the execution records of all servers.
+    auto countExecutions(const std::string &id, const std::string &state = "started") -> int;
 
-    /// Whether the balancer would take the router for ready.
+    /// Whether the router's readiness check (/readyz) succeeds.
     auto isReady(const router_handle &router) -> bool;
 
-    /// The log of a router up to now.
-    auto logOf(const router_handle &router) -> std::string;
+    /// Current content of the router's log.
+    auto readLog(const router_handle &router) -> std::string;
 
-    /// Starts a router that does not run, and waits until it is ready where \p untilReady.
+    /// Starts a router that is not running. With \p untilReady, waits until it is ready.
     auto start(router_handle &router, bool untilReady = true) -> void;
 
-    /// The folder of settings and logs.
+    /// Folder of the settings and logs.
     [[nodiscard]] auto folder() const -> const std::string &;
 
 private:
--- a/tests/support/http_call.cpp
+++ b/tests/support/http_call.cpp
@@ -1,6 +1,6 @@
 #include "support/http_call.h"
 
-#include "support/kept_caller.h"
+#include "support/keep_alive_client.h"
 
 #include <boost/json.hpp>
 #include <sstream>
@@ -9,7 +9,7 @@
 
 auto httpCall(const std::string &address, const http_request &request) -> http_answer
 {
-    return kept_caller(address).call(request);
+    return keep_alive_client(address).call(request);
 }
 
 auto streamedText(const std::string &events) -> std::string
--- a/tests/support/http_call.h
+++ b/tests/support/http_call.h
@@ -6,7 +6,7 @@
 
 namespace marjoramloom::test {
 
-/// A request of a test.
+/// HTTP request that a test sends.
 struct http_request
 {
     std::string method = "GET";
@@ -16,23 +16,23 @@
     std::chrono::milliseconds timeout{ 20'000 };
 };
 
-/// What came back.
+/// HTTP response, as far as it was received.
 struct http_answer
 {
-    bool whole = false; ///< The response came to its proper end.
-    unsigned status = 0; ///< 0 where not even the head came.
+    bool complete = false; ///< The response was received to its end.
+    unsigned status = 0; ///< 0 if no response header was received.
     std::map<std::string, std::string> headers; ///< Names in lower case.
-    std::string body; ///< As far as it came.
-    std::string error; ///< Why it is not whole.
+    std::string body; ///< The part that was received.
+    std::string error; ///< Reason if the response is not complete.
 };
 
-/// One request on a connection of its own. Blocks. Thread safe.
+/// Sends a request on a new connection to \p address and waits for the response. Thread safe.
 auto httpCall(const std::string &address, const http_request &request) -> http_answer;
 
-/// A streamed answer's text put together from its events; empty where an event cannot be read.
+/// Concatenated text of the events of a model's streamed answer. Events that are not valid JSON are skipped.
 auto streamedText(const std::string &events) -> std::string;
 
-/// True where the events end with the marker of a whole answer.
+/// Whether the events contain the end marker of a complete answer.
 auto streamEnded(const std::string &events) -> bool;
 
 } // namespace marjoramloom::test
--- a/tests/support/kept_caller.cpp
+++ b/tests/support/keep_alive_client.cpp
@@ -1,4 +1,4 @@
-#include "support/kept_caller.h"
+#include "support/keep_alive_client.h"
 
 #include "marjoramloom/core/endpoint.h"
 
@@ -14,33 +14,33 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-kept_caller::kept_caller(std::string address)
+keep_alive_client::keep_alive_client(std::string address)
     : m_address(std::move(address))
 {
 }
 
-auto kept_caller::call(const http_request &request) -> http_answer
+auto keep_alive_client::call(const http_request &request) -> http_answer
 {
     auto answer = http_answer();
     asio::co_spawn(m_context, exchange(request, answer), asio::detached);
     m_context.restart();
     m_context.run();
-    if (!answer.whole) {
+    if (!answer.complete) {
         m_stream.reset();
     }
     return answer;
 }
 
-auto kept_caller::exchange(const http_request &request, http_answer &answer) -> asio::awaitable<void>
+auto keep_alive_client::exchange(const http_request &request, http_answer &answer) -> asio::awaitable<void>
 {
     auto error = boost::system::error_code();
-    const auto isFresh = !m_stream;
-    if (isFresh) {
+    const auto isNewConnection = !m_stream;
+    if (isNewConnection) {
         m_buffer.clear();
         m_stream.emplace(m_context);
     }
     m_stream->expires_after(request.timeout);
-    if (isFresh) {
+    if (isNewConnection) {
         auto why = last_reason();
         co_await m_stream->async_connect(*parseEndpoint(m_address, why),
                                          asio::redirect_error(asio::use_awaitable, error));
@@ -62,7 +62,7 @@
     while (!error && !parser.is_done()) {
         co_await http::async_read_some(*m_stream, m_buffer, parser, asio::redirect_error(asio::use_awaitable, error));
     }
-    answer.whole = parser.is_done();
+    answer.complete = parser.is_done();
     answer.error = error.message();
     if (parser.is_header_done()) {
         answer.status = parser.get().result_int();
--- a/tests/support/kept_caller.h
+++ b/tests/support/keep_alive_client.h
@@ -11,13 +11,13 @@
 
 namespace marjoramloom::test {
 
-/// A caller that keeps its connection until the other side closes it. Blocks; not thread safe.
-class kept_caller
+/// HTTP client that reuses one connection until the server closes it. Calls block. Not thread safe.
+class keep_alive_client
 {
 public:
-    explicit kept_caller(std::string address);
+    explicit keep_alive_client(std::string address);
 
-    /// One request; a new connection is made where the old one is closed.
+    /// Sends a request and waits for the response. Opens a new connection if there is none.
     auto call(const http_request &request) -> http_answer;
 
 private:
--- a/tests/support/memory_store.h
+++ b/tests/support/memory_store.h
@@ -12,23 +12,23 @@
 
 namespace marjoramloom {
 
-/// How a memory_store treats its next write.
+/// Fault that a memory_store applies to a write.
 enum class write_fault {
     none,
-    refused, ///< Nothing sent.
-    answerLost, ///< Takes effect, but the caller is not told.
-    lost, ///< Takes no effect, and the caller is not told.
-    late, ///< Takes effect at landLate(), and the caller is not told.
+    refused, ///< Fails as not sent.
+    answerLost, ///< Takes effect; the caller gets an unknown outcome.
+    lost, ///< Has no effect; the caller gets an unknown outcome.
+    late, ///< Takes effect in applyLateWrites(); the caller gets an unknown outcome.
 };
 
-/// An object store in memory with faults, for tests of one thread.
+/// In-memory object store with fault injection for tests. Not thread safe.
 class memory_store
 {
 public:
-    std::deque<write_fault> faults; ///< One for each of the next writes.
-    bool down = false; ///< Every call fails, with nothing sent.
-    std::size_t readsBehind = 0; ///< Lists show what stood so many writes ago.
-    std::vector<stored_object> history; ///< Every object written, in order.
+    std::deque<write_fault> faults; ///< Faults of the next writes, in order.
+    bool down = false; ///< Every call but watch() fails as not sent.
+    std::size_t readLagWrites = 0; ///< Number of the latest writes that list() does not show.
+    std::vector<stored_object> history; ///< Every object written, in order; no deletions.
 
     auto get(std::string kind, std::string name, last_reason &why)
         -> boost::asio::awaitable<std::optional<stored_object>>
@@ -44,9 +44,9 @@
         if (down) {
             co_return why.fail(failure_kind::notSent, "connect", "memory", "down");
         }
-        const auto stale = readsBehind > 0 && readsBehind <= m_versions.size();
-        const auto &shown = stale ? m_versions[m_versions.size() - readsBehind] : m_objects;
-        auto listed = object_list{ m_revision - (stale ? readsBehind : 0), {} };
+        const auto stale = readLagWrites > 0 && readLagWrites <= m_versionsBeforeWrite.size();
+        const auto &shown = stale ? m_versionsBeforeWrite[m_versionsBeforeWrite.size() - readLagWrites] : m_objects;
+        auto listed = object_list{ m_revision - (stale ? readLagWrites : 0), {} };
         for (const auto &[key, object] : shown) {
             if (key.first == kind) {
                 listed.objects.push_back(object);
@@ -73,7 +73,7 @@
         return write({ kind, name, revision, {} }, true, why);
     }
 
-    /// Ends at once when everything was delivered, so that a test sees one pass.
+    /// Delivers the existing events and ends, unlike a real watch, so that a test can run it to its end.
     auto watch(std::vector<std::string> kinds, std::uint64_t since, watch_callback callback)
         -> boost::asio::awaitable<watch_end>
     {
@@ -88,20 +88,22 @@
         co_return watch_end::stopped;
     }
 
-    /// Writes that are under way take effect now, as far as their conditions hold.
-    auto landLate() -> void
+    /// Applies the writes with write_fault::late, unless their revision condition fails by now.
+    auto applyLateWrites() -> void
     {
-        for (auto &[object, removing] : std::exchange(m_late, {})) {
-            land(object, removing);
+        for (auto &[object, isDeletion] : std::exchange(m_lateWrites, {})) {
+            applyWrite(object, isDeletion);
         }
     }
 
+    /// The current version of an object; its revision is 0 if it does not exist.
     auto current(const std::string &kind, const std::string &name) const -> stored_object
     {
         const auto found = m_objects.find({ kind, name });
         return found == m_objects.end() ? stored_object{ kind, name, 0, {} } : found->second;
     }
 
+    /// Number of objects of a kind.
     [[nodiscard]] auto count(const std::string &kind) const -> std::size_t
     {
         auto found = std::size_t(0);
@@ -111,10 +113,10 @@
         return found;
     }
 
-    std::vector<watch_event> events;
+    std::vector<watch_event> events; ///< Every write, in order.
 
 private:
-    auto write(stored_object object, bool removing, last_reason &why) -> boost::asio::awaitable<write_outcome>
+    auto write(stored_object object, bool isDeletion, last_reason &why) -> boost::asio::awaitable<write_outcome>
     {
         auto fault = write_fault::none;
         if (!faults.empty()) {
@@ -126,40 +128,41 @@
             co_return write_outcome{ write_result::notSent, {} };
         }
         if (fault == write_fault::none) {
-            co_return land(object, removing);
+            co_return applyWrite(object, isDeletion);
         }
         if (fault == write_fault::answerLost) {
-            land(object, removing);
+            applyWrite(object, isDeletion);
         } else if (fault == write_fault::late) {
-            m_late.emplace_back(object, removing);
+            m_lateWrites.emplace_back(object, isDeletion);
         }
         why.fail(failure_kind::unknownOutcome, "read answer", "memory", "lost");
         co_return write_outcome{ write_result::unknown, {} };
     }
 
-    auto land(stored_object object, bool removing) -> write_outcome
+    auto applyWrite(stored_object object, bool isDeletion) -> write_outcome
     {
-        const auto standing = current(object.kind, object.name);
-        if (standing.revision != object.revision) {
-            return { write_result::conflict, standing };
+        const auto existing = current(object.kind, object.name);
+        if (existing.revision != object.revision) {
+            return { write_result::conflict, existing };
         }
-        m_versions.push_back(m_objects);
+        m_versionsBeforeWrite.push_back(m_objects);
         object.revision = ++m_revision;
         const auto key = std::pair(object.kind, object.name);
-        if (removing) {
+        if (isDeletion) {
             m_objects.erase(key);
         } else {
             m_objects[key] = object;
             history.push_back(object);
         }
-        events.push_back({ removing ? watch_event_kind::remove : watch_event_kind::put, m_revision, object });
+        events.push_back({ isDeletion ? watch_event_kind::remove : watch_event_kind::put, m_revision, object });
         return { write_result::written, object };
     }
 
     std::uint64_t m_revision = 0;
     std::map<std::pair<std::string, std::string>, stored_object> m_objects;
-    std::vector<std::map<std::pair<std::string, std::string>, stored_object>> m_versions; ///< Before each write.
-    std::vector<std::pair<stored_object, bool>> m_late;
+    std::vector<std::map<std::pair<std::string, std::string>, stored_object>>
+        m_versionsBeforeWrite; ///< The objects before each write.
+    std::vector<std::pair<stored_object, bool>> m_lateWrites; ///< Objects, and whether they are deletions.
 };
 
 } // namespace marjoramloom
--- a/tests/support/run_coroutine.h
+++ b/tests/support/run_coroutine.h
@@ -6,7 +6,7 @@
 
 namespace marjoramloom {
 
-/// Runs \p work to its end on an io_context of its own and returns its value.
+/// Runs \p work to its end on a new io_context and returns its value. Blocks.
 template<typename Value>
 auto runCoroutine(boost::asio::awaitable<Value> work) -> Value
 {
--- a/tests/unit/contract/change_log_schedule_test.cpp
+++ b/tests/unit/contract/change_log_schedule_test.cpp
@@ -80,13 +80,13 @@
         switch (pick(9)) {
         case 0:
             m_platform.down = pick(4) == 0;
-            m_platform.readsBehind = pick(3) == 0 ? pick(6) : 0;
+            m_platform.readLagWrites = pick(3) == 0 ? pick(6) : 0;
             break;
         case 1:
             m_platform.faults = { static_cast<write_fault>(pick(5)), static_cast<write_fault>(pick(5)) };
             break;
         case 2:
-            m_platform.landLate();
+            m_platform.applyLateWrites();
             break;
         case 3:
             runCoroutine(router.compactor.compact(why));
@@ -193,9 +193,9 @@
     /// Checks that all routers reach the same sequence, not below any accepted one, once there are no faults.
     auto checkConvergence() -> std::string
     {
-        m_platform.landLate();
+        m_platform.applyLateWrites();
         m_platform.down = false;
-        m_platform.readsBehind = 0;
+        m_platform.readLagWrites = 0;
         m_platform.faults.clear();
         auto why = last_reason();
         for (auto &router : m_routers) {
--- a/tests/unit/contract/change_log_test.cpp
+++ b/tests/unit/contract/change_log_test.cpp
@@ -100,7 +100,7 @@
     platform.faults = std::deque<write_fault>(1000, write_fault::late);
     BOOST_TEST((first.propose("a", 0, "quick").result == commit_result::unknown));
     platform.faults.clear();
-    platform.landLate();
+    platform.applyLateWrites();
     BOOST_TEST((first.propose("a", 0, "quick").result == commit_result::accepted));
     platform.down = true;
     BOOST_TEST((first.propose("b", 1, "slow").result == commit_result::refused));
--- a/tests/unit/order/order_ledger_test.cpp
+++ b/tests/unit/order/order_ledger_test.cpp
@@ -116,7 +116,7 @@
     BOOST_TEST((refused.verdict == order_verdict::attemptNotRun));
     store.faults.clear();
     BOOST_TEST(ledger.unsettled() == 1U);
-    store.landLate();
+    store.applyLateWrites();
     const auto left = runCoroutine(ledger.drain(std::chrono::seconds(5)));
     BOOST_TEST(left == 0U);
     BOOST_TEST((state() == order_state::released));
@@ -130,7 +130,7 @@
     admit(deposit());
     store.faults.clear();
     runCoroutine(ledger.drain(std::chrono::seconds(5)));
-    store.landLate();
+    store.applyLateWrites();
     BOOST_TEST((state() == order_state::released));
 }
 
--- a/tests/unit/router/http_server_test.cpp
+++ b/tests/unit/router/http_server_test.cpp
@@ -2,7 +2,7 @@
 
 #include "support/fleet.h"
 #include "support/http_call.h"
-#include "support/kept_caller.h"
+#include "support/keep_alive_client.h"
 
 #include <boost/test/unit_test.hpp>
 #include <thread>
@@ -100,9 +100,9 @@
     BOOST_REQUIRE(port.has_value());
     auto loop = std::thread([&] { context.run(); });
     const auto address = "127.0.0.1:" + std::to_string(*port);
-    auto callers = std::vector<std::unique_ptr<test::kept_caller>>();
+    auto callers = std::vector<std::unique_ptr<test::keep_alive_client>>();
     for (auto index = 0; index < 6; ++index) {
-        callers.push_back(std::make_unique<test::kept_caller>(address));
+        callers.push_back(std::make_unique<test::keep_alive_client>(address));
         BOOST_TEST(callers.back()->call({}).body == "served"); // Also on connections that are closed afterwards.
     }
     BOOST_TEST(test::waitUntil(1'000, [&] { return server->connections() == 3U; }));
--- a/tests/unit/standins/answer_text_test.cpp
+++ b/tests/unit/standins/answer_text_test.cpp
@@ -6,10 +6,10 @@
 
 BOOST_AUTO_TEST_SUITE(answer_text_test)
 
-BOOST_AUTO_TEST_CASE(a_prefix_and_what_follows_it_make_the_whole_answer)
+BOOST_AUTO_TEST_CASE(a_prefix_and_its_continuation_make_the_complete_answer)
 {
     const auto question = std::vector<chat_message>{ { "user", "what of the hinge? tokens=12" } };
-    const auto whole = wholeAnswer(question);
+    const auto whole = completeAnswer(question);
     BOOST_TEST(whole.tokens.size() == 12U);
     const auto text = whole.text();
     for (auto cut = std::size_t(0); cut <= text.size(); ++cut) {
@@ -19,7 +19,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_limit_ends_the_answer_with_its_reason)
+BOOST_AUTO_TEST_CASE(a_token_limit_truncates_the_answer_with_finish_reason_length)
 {
     const auto question = std::vector<chat_message>{ { "user", "tokens=12" } };
     const auto limited = expectedAnswer(question, 5);
