--- a/include/marjoramloom/gateway/engine_decision.h
+++ b/include/marjoramloom/gateway/engine_decision.h
@@ -12,11 +12,11 @@
 struct placement_query
 {
     std::string service;
-    engine_shard part; ///< Only its engines may be chosen.
+    engine_shard shard; ///< Only its engines may be chosen.
     prompt_summary prompt;
     std::uint64_t account = 0; ///< From account_usage::accountId().
     duration objective{}; ///< Latency objective of the first event.
-    tried_servers failed; ///< Engines at which this request has just failed; they are not chosen again.
+    tried_servers failedServers; ///< Engines at which this request has just failed; they are not chosen again.
     bool alreadySent = false; ///< An engine was already sent the request, so it is not refused for its expected wait.
 };
 
--- a/include/marjoramloom/gateway/gateway_retry_budget.h
+++ b/include/marjoramloom/gateway/gateway_retry_budget.h
@@ -30,7 +30,7 @@
     auto noteFirstAttempt(time_point now) -> void;
 
     /// Consumes one retry. Returns false if none is left.
-    [[nodiscard]] auto take(time_point now) -> bool;
+    [[nodiscard]] auto tryConsume(time_point now) -> bool;
 
 private:
     auto expire(time_point now) -> void;
--- a/include/marjoramloom/gateway/gateway_state.h
+++ b/include/marjoramloom/gateway/gateway_state.h
@@ -36,10 +36,11 @@
 struct gateway_state
 {
     /// Preconditions: \p registry outlives the state; \p seed initializes the random generator.
-    gateway_state(const gateway_settings &given, router_identity self, counter_registry &registry, std::uint64_t seed);
+    gateway_state(const gateway_settings &initialSettings, router_identity self, counter_registry &registry,
+                  std::uint64_t seed);
 
     /// Applies new settings; retries that were counted stay counted.
-    auto applySettings(const gateway_settings &given) -> void;
+    auto applySettings(const gateway_settings &newSettings) -> void;
 
     /// Records that \p prompt was sent to the engine with the incarnation \p server, whose prefix cache then holds the
     /// shared prefix blocks. Returns the record for the other routers.
--- a/include/marjoramloom/gateway/load_exchange.h
+++ b/include/marjoramloom/gateway/load_exchange.h
@@ -29,8 +29,8 @@
     /// Handlers of the queries and updates about the store that other routers send.
     struct store_handlers
     {
-        std::function<void(std::uint64_t router, const store_query &question)> onQuestion;
-        std::function<void(const store_update &news)> onNews;
+        std::function<void(std::uint64_t router, const store_query &query)> onQuery;
+        std::function<void(const store_update &update)> onUpdate;
     };
 
     /// Precondition: \p state outlives this object.
@@ -56,8 +56,8 @@
     /// Informs all other routers that this one stops.
     auto announceStop() -> void;
 
-    auto sendStoreQuery(std::uint64_t router, const store_query &question) -> void;
-    auto sendStoreUpdate(std::uint64_t router, const store_update &news) -> void;
+    auto sendStoreQuery(std::uint64_t router, const store_query &query) -> void;
+    auto sendStoreUpdate(std::uint64_t router, const store_update &update) -> void;
 
     /// Sends and answers placement queries for this router.
     [[nodiscard]] auto dispatch() -> placement_dispatch &;
--- a/include/marjoramloom/gateway/placement_dispatch.h
+++ b/include/marjoramloom/gateway/placement_dispatch.h
@@ -16,7 +16,7 @@
 struct placement_answer
 {
     std::uint64_t number = 0; ///< Of the query.
-    std::uint64_t sequence = 0; ///< Of the dispatcher's placements for the asking router; 0 if refused.
+    std::uint64_t sequence = 0; ///< Of the dispatcher's placements for the querying router; 0 if refused.
     std::uint64_t server = 0; ///< Incarnation of the engine; 0 if the request is refused.
     std::uint32_t prefillTokens = 0;
     duration wait{};
@@ -47,9 +47,9 @@
     auto decide(const placement_query &query, last_reason &why)
         -> boost::asio::awaitable<std::optional<engine_decision>>;
 
-    /// Decides for the router with the incarnation \p askingRouter. Returns nothing if this router knows no usable
-    /// engine; the asking router then decides itself.
-    auto answer(std::uint64_t askingRouter, std::uint64_t number, const placement_query &query)
+    /// Decides for the router with the incarnation \p queryingRouter. Returns nothing if this router knows no usable
+    /// engine; the querying router then decides itself.
+    auto answer(std::uint64_t queryingRouter, std::uint64_t number, const placement_query &query)
         -> std::optional<placement_answer>;
 
     /// Completes the query that \p answer, from the router incarnation \p dispatcher, belongs to.
@@ -83,7 +83,7 @@
         time_point skippedUntil{};
     };
 
-    auto ask(std::uint64_t dispatcher, const placement_query &query)
+    auto queryDispatcher(std::uint64_t dispatcher, const placement_query &query)
         -> boost::asio::awaitable<std::optional<placement_answer>>;
     auto toDecision(const placement_answer &answer, last_reason &why) const -> std::optional<engine_decision>;
 
--- a/include/marjoramloom/gateway/prefix_cache_estimate.h
+++ b/include/marjoramloom/gateway/prefix_cache_estimate.h
@@ -20,9 +20,9 @@
     /// Sets how many tokens the cache is assumed to hold.
     auto setCapacity(std::uint64_t tokens) -> void;
 
-    /// Records that the engine prefilled a prompt that consists of the shareable blocks \p parts and \p unsharedTokens
-    /// that no other prompt shares.
-    auto noteRead(const std::vector<prefix_block> &parts, std::uint32_t unsharedTokens) -> void;
+    /// Records that the engine prefilled a prompt that consists of the shareable \p blocks and \p unsharedTokens that
+    /// no other prompt shares.
+    auto recordPrefill(const std::vector<prefix_block> &blocks, std::uint32_t unsharedTokens) -> void;
 
     /// Number of tokens at the start of \p prompt that the engine is assumed to have cached.
     [[nodiscard]] auto cachedTokens(const prompt_summary &prompt) const -> std::uint32_t;
@@ -30,7 +30,7 @@
 private:
     using lru_list = std::list<prefix_block>;
 
-    auto touch(const prefix_block &part) -> void;
+    auto touch(const prefix_block &block) -> void;
     auto evict() -> void;
 
     std::uint64_t m_capacityTokens = 0;
--- a/include/marjoramloom/gateway/prompt_placement.h
+++ b/include/marjoramloom/gateway/prompt_placement.h
@@ -12,7 +12,8 @@
 /// State of one engine, for the placement of one prompt.
 struct engine_candidate
 {
-    std::uint64_t homeRank = 0; ///< From homeScore(); the candidate with the highest rank is the prompt's home engine.
+    /// From prompt_placement::homeScore(); the candidate with the highest score is the prompt's home engine.
+    std::uint64_t homeScore = 0;
     std::uint32_t running = 0; ///< Requests at the engine.
     std::uint32_t slots = 1; ///< Requests that the engine accepts at once.
     std::uint64_t pendingPrefillTokens = 0; ///< Prompt tokens that the engine has to prefill before a new request's.
@@ -55,8 +56,8 @@
     [[nodiscard]] auto choose(std::span<const engine_candidate> candidates, std::uint32_t promptTokens) const
         -> std::optional<engine_choice>;
 
-    /// Rank of the engine \p server for prompts with the shared prefix \p sharedPrefixId (rendezvous hashing); equal on
-    /// every router.
+    /// Score of the engine \p server for prompts with the shared prefix \p sharedPrefixId (rendezvous hashing); equal
+    /// on every router.
     [[nodiscard]] static auto homeScore(std::string_view server, std::uint64_t sharedPrefixId) -> std::uint64_t;
 
 private:
--- a/include/marjoramloom/gateway/route_table.h
+++ b/include/marjoramloom/gateway/route_table.h
@@ -103,7 +103,7 @@
     double tokensPerSecond = 0; ///< Total output rate of all engines; 0 if unknown.
 };
 
-/// One version of the routes, services and keys in force. Immutable; thread safe.
+/// One version of the routes, services and keys. Immutable; thread safe.
 class route_table
 {
 public:
--- a/include/marjoramloom/gateway/server_loads.h
+++ b/include/marjoramloom/gateway/server_loads.h
@@ -19,7 +19,7 @@
     time_point avoidedUntil{}; ///< After failures, other servers are preferred until then.
     std::uint64_t suspectedBy = 0; ///< Router that last reported a failed request at the server.
     time_point suspectedAt{};
-    prefix_cache_estimate parts; ///< Prefix blocks that the server is assumed to have cached.
+    prefix_cache_estimate prefixCache; ///< Prefix blocks that the server is assumed to have cached.
 
     [[nodiscard]] auto isAvoided(time_point now) const -> bool
     {
--- a/include/marjoramloom/gateway/store_relay.h
+++ b/include/marjoramloom/gateway/store_relay.h
@@ -59,7 +59,7 @@
     /// A router that sent no query for this long watches the store itself or has stopped.
     static constexpr duration FOLLOWER_TIMEOUT = std::chrono::milliseconds(2'000);
     /// Unanswered queries that are remembered; answers to older ones validate no keys.
-    static constexpr std::size_t MAX_OPEN_QUERIES = 6;
+    static constexpr std::size_t MAX_PENDING_QUERIES = 6;
 
     auto sendQuery(time_point now) -> void;
 
@@ -69,7 +69,7 @@
     senders m_senders;
     watch_role m_watchRole;
     std::uint64_t m_lastQueryNumber = 0;
-    std::map<std::uint64_t, boot_time> m_openQueries; ///< Send times of the unanswered queries, by number.
+    std::map<std::uint64_t, boot_time> m_pendingQueries; ///< Send times of the unanswered queries, by number.
     std::unordered_map<std::uint64_t, follower> m_followers;
     counter &m_sentQueries;
     counter &m_relayedValidations;
--- a/include/marjoramloom/store/watch_event.h
+++ b/include/marjoramloom/store/watch_event.h
@@ -30,7 +30,8 @@
     watch_event_kind kind = watch_event_kind::bookmark;
     std::uint64_t revision = 0;
     stored_object object; ///< Empty for bookmarks.
-    boot_time askedAt; ///< Bookmarks only: when the request was sent whose response was complete up to the revision.
+    /// Bookmarks only: when the request was sent whose response was complete up to the revision.
+    boot_time requestedAt;
 };
 
 /// Receives the events of one kind in order. Returning false ends the watch.
--- a/src/gateway/datagram_codec.cpp
+++ b/src/gateway/datagram_codec.cpp
@@ -6,24 +6,24 @@
 
 /// Combines the lists of block ids and token counts; nothing if their lengths differ.
 template<typename Message>
-auto readParts(const Message &message) -> std::optional<std::vector<prefix_block>>
+auto readPrefixBlocks(const Message &message) -> std::optional<std::vector<prefix_block>>
 {
     if (message.parts_size() != message.part_tokens_size()) {
         return std::nullopt;
     }
-    auto parts = std::vector<prefix_block>();
+    auto blocks = std::vector<prefix_block>();
     for (auto index = 0; index < message.parts_size(); ++index) {
-        parts.push_back({ message.parts(index), message.part_tokens(index) });
+        blocks.push_back({ message.parts(index), message.part_tokens(index) });
     }
-    return parts;
+    return blocks;
 }
 
 template<typename Message>
-auto writeParts(const std::vector<prefix_block> &parts, Message &message) -> void
+auto writePrefixBlocks(const std::vector<prefix_block> &blocks, Message &message) -> void
 {
-    for (const auto &part : parts) {
-        message.add_parts(part.id);
-        message.add_part_tokens(part.tokens);
+    for (const auto &block : blocks) {
+        message.add_parts(block.id);
+        message.add_part_tokens(block.tokens);
     }
 }
 
@@ -59,38 +59,38 @@
     return snapshot;
 }
 
-auto readPrompt(const wire::PromptRead &message) -> std::optional<prefill_record>
+auto readPrefill(const wire::PromptRead &message) -> std::optional<prefill_record>
 {
-    auto parts = readParts(message);
-    if (!parts) {
+    auto blocks = readPrefixBlocks(message);
+    if (!blocks) {
         return std::nullopt;
     }
     return prefill_record{ .server = message.server(),
-                           .parts = std::move(*parts),
+                           .parts = std::move(*blocks),
                            .unsharedTokens = message.own_tokens() };
 }
 
-auto write(const prefill_record &read, wire::PromptRead &message) -> void
+auto write(const prefill_record &prefill, wire::PromptRead &message) -> void
 {
-    message.set_server(read.server);
-    writeParts(read.parts, message);
-    message.set_own_tokens(read.unsharedTokens);
+    message.set_server(prefill.server);
+    writePrefixBlocks(prefill.parts, message);
+    message.set_own_tokens(prefill.unsharedTokens);
 }
 
 auto readQuery(const wire::PlacementQuery &message) -> std::optional<placement_query>
 {
-    auto parts = readParts(message);
+    auto blocks = readPrefixBlocks(message);
     const auto count = std::max(message.engine_parts(), std::uint32_t(1));
-    if (!parts || message.engine_part() >= count) {
+    if (!blocks || message.engine_part() >= count) {
         return std::nullopt;
     }
     auto query = placement_query{ .service = message.service(),
-                                  .part = { .index = message.engine_part(), .count = count },
+                                  .shard = { .index = message.engine_part(), .count = count },
                                   .prompt = {},
                                   .account = message.account() };
-    query.prompt.parts = std::move(*parts);
+    query.prompt.parts = std::move(*blocks);
     query.prompt.promptTokens = message.prompt_tokens();
-    query.failed.insert(message.failed().begin(), message.failed().end());
+    query.failedServers.insert(message.failed().begin(), message.failed().end());
     query.alreadySent = message.begun();
     query.objective = std::chrono::milliseconds(message.objective_ms());
     return query;
@@ -99,14 +99,14 @@
 auto write(const placement_query &query, wire::PlacementQuery &message) -> void
 {
     message.set_service(query.service);
-    writeParts(query.prompt.parts, message);
+    writePrefixBlocks(query.prompt.parts, message);
     message.set_prompt_tokens(query.prompt.promptTokens);
     message.set_account(query.account);
     message.set_objective_ms(
         static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(query.objective).count()));
-    message.set_engine_part(query.part.index);
-    message.set_engine_parts(query.part.count);
-    for (const auto server : query.failed) {
+    message.set_engine_part(query.shard.index);
+    message.set_engine_parts(query.shard.count);
+    for (const auto server : query.failedServers) {
         message.add_failed(server);
     }
     message.set_begun(query.alreadySent);
@@ -138,44 +138,44 @@
 
 auto readStoreUpdate(const wire::StoreNews &message) -> store_update
 {
-    auto news = store_update{ .number = message.number(),
-                              .validationAge = std::nullopt,
-                              .configurationRevision = message.configuration_revision(),
-                              .serversBaseRevision = message.servers_after(),
-                              .serversRevision = message.servers_revision(),
-                              .changes = {},
-                              .storeLost = message.store_lost(),
-                              .renewalLeft = std::chrono::milliseconds(message.renewal_left_ms()) };
+    auto update = store_update{ .number = message.number(),
+                                .validationAge = std::nullopt,
+                                .configurationRevision = message.configuration_revision(),
+                                .serversBaseRevision = message.servers_after(),
+                                .serversRevision = message.servers_revision(),
+                                .changes = {},
+                                .storeLost = message.store_lost(),
+                                .renewalLeft = std::chrono::milliseconds(message.renewal_left_ms()) };
     if (message.proved()) {
-        news.validationAge = std::chrono::milliseconds(message.proof_age_ms());
+        update.validationAge = std::chrono::milliseconds(message.proof_age_ms());
     }
     for (const auto &serverChange : message.changes()) {
         auto object = stored_object{
             .kind = {}, .name = serverChange.id(), .revision = serverChange.revision(), .value = serverChange.entry()
         };
-        news.changes.push_back({ .object = std::move(object), .removed = serverChange.removed() });
+        update.changes.push_back({ .object = std::move(object), .removed = serverChange.removed() });
     }
-    return news;
+    return update;
 }
 
-auto write(const store_update &news, wire::StoreNews &message) -> void
+auto write(const store_update &update, wire::StoreNews &message) -> void
 {
-    message.set_number(news.number);
-    message.set_proved(news.validationAge.has_value());
+    message.set_number(update.number);
+    message.set_proved(update.validationAge.has_value());
     message.set_proof_age_ms(
-        static_cast<std::uint32_t>(news.validationAge.value_or(std::chrono::milliseconds(0)).count()));
-    message.set_configuration_revision(news.configurationRevision);
-    message.set_servers_after(news.serversBaseRevision);
-    message.set_servers_revision(news.serversRevision);
-    for (const auto &change : news.changes) {
+        static_cast<std::uint32_t>(update.validationAge.value_or(std::chrono::milliseconds(0)).count()));
+    message.set_configuration_revision(update.configurationRevision);
+    message.set_servers_after(update.serversBaseRevision);
+    message.set_servers_revision(update.serversRevision);
+    for (const auto &change : update.changes) {
         auto *serverChange = message.add_changes();
         serverChange->set_id(change.object.name);
         serverChange->set_revision(change.object.revision);
         serverChange->set_removed(change.removed);
         serverChange->set_entry(change.object.value);
     }
-    message.set_store_lost(news.storeLost);
-    message.set_renewal_left_ms(static_cast<std::uint32_t>(news.renewalLeft.count()));
+    message.set_store_lost(update.storeLost);
+    message.set_renewal_left_ms(static_cast<std::uint32_t>(update.renewalLeft.count()));
 }
 
 } // namespace marjoramloom
--- a/src/gateway/datagram_codec.h
+++ b/src/gateway/datagram_codec.h
@@ -18,8 +18,8 @@
 auto write(const router_identity &identity, wire::RouterIdentity &message) -> void;
 
 auto readReport(std::uint64_t incarnation, const wire::LoadReport &message) -> load_snapshot;
-auto readPrompt(const wire::PromptRead &message) -> std::optional<prefill_record>;
-auto write(const prefill_record &read, wire::PromptRead &message) -> void;
+auto readPrefill(const wire::PromptRead &message) -> std::optional<prefill_record>;
+auto write(const prefill_record &prefill, wire::PromptRead &message) -> void;
 
 auto readQuery(const wire::PlacementQuery &message) -> std::optional<placement_query>;
 auto write(const placement_query &query, wire::PlacementQuery &message) -> void;
@@ -28,6 +28,6 @@
 auto write(const placement_answer &answer, wire::PlacementAnswer &message) -> void;
 
 auto readStoreUpdate(const wire::StoreNews &message) -> store_update;
-auto write(const store_update &news, wire::StoreNews &message) -> void;
+auto write(const store_update &update, wire::StoreNews &message) -> void;
 
 } // namespace marjoramloom
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -185,11 +185,11 @@
 auto gateway_call::chooseEngineForPrompt(last_reason &why) -> asio::awaitable<std::optional<chosen_server>>
 {
     const auto query = placement_query{ .service = m_service->name,
-                                        .part = shardOf(m_state.servers.usable(m_service->name), m_request.prompt),
+                                        .shard = shardOf(m_state.servers.usable(m_service->name), m_request.prompt),
                                         .prompt = m_request.prompt,
                                         .account = m_accountId,
                                         .objective = m_route.latencyObjective,
-                                        .failed = m_triedServers,
+                                        .failedServers = m_triedServers,
                                         .alreadySent = m_sendCount > 0 };
     auto decision = co_await m_dispatch.decide(query, why);
     if (decision && decision->chosen) {
@@ -214,7 +214,7 @@
     }
     const auto isSafeToRetry = outcome == attempt_outcome::notRun || m_route.mayRetry();
     return isSafeToRetry && m_sendCount < m_route.maxAttempts
-        && m_state.retryBudgetFor(m_service->name).take(system_clock_source().now());
+        && m_state.retryBudgetFor(m_service->name).tryConsume(system_clock_source().now());
 }
 
 auto gateway_call::sendAttempt(const chosen_server &chosen) -> asio::awaitable<attempt_outcome>
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -79,7 +79,7 @@
 /// All components of the process, in the order of their dependencies.
 struct gateway_process::components
 {
-    explicit components(settings given);
+    explicit components(settings initialSettings);
 
     /// Joins the fleet of routers and keeps discovering others. Does not return.
     auto join() -> asio::awaitable<void>;
@@ -108,8 +108,8 @@
     store_relay relay;
 };
 
-gateway_process::components::components(settings given)
-    : config(std::move(given))
+gateway_process::components::components(settings initialSettings)
+    : config(std::move(initialSettings))
     , state(*config.gateway, identityOf(config), counters, std::random_device()())
     , store(context.get_executor(), storeOptions(config), counters)
     , exchange(context.get_executor(), state, identityOf(config), makeIncarnation())
@@ -134,8 +134,8 @@
                       exchange.sendStoreUpdate(router, update);
                   } })
 {
-    exchange.setStoreHandlers({ .onQuestion = [this](auto router, const auto &query) { relay.onQuery(router, query); },
-                                .onNews =
+    exchange.setStoreHandlers({ .onQuery = [this](auto router, const auto &query) { relay.onQuery(router, query); },
+                                .onUpdate =
                                     [this](const auto &update) {
                                         relay.onUpdate(update);
                                     } });
--- a/src/gateway/gateway_retry_budget.cpp
+++ b/src/gateway/gateway_retry_budget.cpp
@@ -22,7 +22,7 @@
     m_firstAttempts.push_back(now);
 }
 
-auto gateway_retry_budget::take(time_point now) -> bool
+auto gateway_retry_budget::tryConsume(time_point now) -> bool
 {
     expire(now);
     const auto allowed = m_limits.ratio * static_cast<double>(m_firstAttempts.size()) + m_limits.reserve;
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -20,12 +20,12 @@
 
 } // namespace
 
-gateway_state::gateway_state(const gateway_settings &given, router_identity self, counter_registry &registry,
+gateway_state::gateway_state(const gateway_settings &initialSettings, router_identity self, counter_registry &registry,
                              std::uint64_t seed)
-    : settings(given)
+    : settings(initialSettings)
     , dataCentre(self.dataCentre)
     , counters(registry)
-    , keys(given.keyLifetime)
+    , keys(initialSettings.keyLifetime)
     , servers([this](const listed_server &server, std::string_view change) {
         logServer(server, change);
         if (!servers.isListed(server)) {
@@ -44,12 +44,12 @@
 {
 }
 
-auto gateway_state::applySettings(const gateway_settings &given) -> void
+auto gateway_state::applySettings(const gateway_settings &newSettings) -> void
 {
-    settings = given;
-    keys.setLifetime(given.keyLifetime);
+    settings = newSettings;
+    keys.setLifetime(newSettings.keyLifetime);
     for (auto &[service, budget] : retryBudgets) {
-        budget.setLimits(given.retryBudgetSettings);
+        budget.setLimits(newSettings.retryBudgetSettings);
     }
 }
 
@@ -62,7 +62,7 @@
         record.parts.pop_back();
     }
     if (auto *load = loads.find(server)) {
-        load->parts.noteRead(record.parts, record.unsharedTokens);
+        load->prefixCache.recordPrefill(record.parts, record.unsharedTokens);
     }
     return record;
 }
--- a/src/gateway/load_exchange.cpp
+++ b/src/gateway/load_exchange.cpp
@@ -217,14 +217,14 @@
         account->set_started_tokens(share.startedTokens);
     }
     if (scope.shards.empty()) {
-        for (const auto &read : m_state.unreportedPrefills) {
-            write(read, *report.add_reads());
+        for (const auto &prefill : m_state.unreportedPrefills) {
+            write(prefill, *report.add_reads());
         }
     }
     for (const auto &[dispatcher, sequence] : m_dispatch.lastSequences()) {
-        auto *heard = report.add_heard();
-        heard->set_dispatcher(dispatcher);
-        heard->set_sequence(sequence);
+        auto *placementHeard = report.add_heard();
+        placementHeard->set_dispatcher(dispatcher);
+        placementHeard->set_sequence(sequence);
     }
     return datagram;
 }
@@ -246,18 +246,18 @@
     send(router, datagram);
 }
 
-auto load_exchange::sendStoreQuery(std::uint64_t router, const store_query &question) -> void
+auto load_exchange::sendStoreQuery(std::uint64_t router, const store_query &query) -> void
 {
     auto datagram = wire::RouterDatagram();
-    datagram.mutable_question()->set_number(question.number);
-    datagram.mutable_question()->set_servers_revision(question.serversRevision);
+    datagram.mutable_question()->set_number(query.number);
+    datagram.mutable_question()->set_servers_revision(query.serversRevision);
     send(router, datagram);
 }
 
-auto load_exchange::sendStoreUpdate(std::uint64_t router, const store_update &news) -> void
+auto load_exchange::sendStoreUpdate(std::uint64_t router, const store_update &update) -> void
 {
     auto datagram = wire::RouterDatagram();
-    write(news, *datagram.mutable_news());
+    write(update, *datagram.mutable_news());
     send(router, datagram);
 }
 
@@ -329,13 +329,13 @@
     if (datagram.has_answer()) {
         m_dispatch.handleAnswer(datagram.sender(), readAnswer(datagram.answer()));
     }
-    if (datagram.has_question() && m_storeHandlers.onQuestion) {
-        m_storeHandlers.onQuestion(
+    if (datagram.has_question() && m_storeHandlers.onQuery) {
+        m_storeHandlers.onQuery(
             router,
             { .number = datagram.question().number(), .serversRevision = datagram.question().servers_revision() });
     }
-    if (datagram.has_news() && m_storeHandlers.onNews) {
-        m_storeHandlers.onNews(readStoreUpdate(datagram.news()));
+    if (datagram.has_news() && m_storeHandlers.onUpdate) {
+        m_storeHandlers.onUpdate(readStoreUpdate(datagram.news()));
     }
 }
 
@@ -349,17 +349,17 @@
         return;
     }
     if (m_state.fleet.update(readReport(incarnation, report), now)) {
-        for (const auto &heard : report.heard()) {
-            if (heard.dispatcher() == m_incarnation) {
-                m_state.placements.acknowledge(incarnation, heard.sequence());
+        for (const auto &placementHeard : report.heard()) {
+            if (placementHeard.dispatcher() == m_incarnation) {
+                m_state.placements.acknowledge(incarnation, placementHeard.sequence());
             }
         }
     }
     for (const auto &message : report.reads()) {
-        const auto read = readPrompt(message);
-        auto *load = read ? m_state.loads.find(read->server) : nullptr;
+        const auto prefill = readPrefill(message);
+        auto *load = prefill ? m_state.loads.find(prefill->server) : nullptr;
         if (load != nullptr) {
-            load->parts.noteRead(read->parts, read->unsharedTokens);
+            load->prefixCache.recordPrefill(prefill->parts, prefill->unsharedTokens);
         }
     }
     if (!isFullMesh()) {
--- a/src/gateway/placement_dispatch.cpp
+++ b/src/gateway/placement_dispatch.cpp
@@ -22,9 +22,9 @@
 auto placement_dispatch::decide(const placement_query &query, last_reason &why)
     -> asio::awaitable<std::optional<engine_decision>>
 {
-    const auto dispatcher = dispatcherOf(query.service, query.part.index, system_clock_source().now());
+    const auto dispatcher = dispatcherOf(query.service, query.shard.index, system_clock_source().now());
     if (dispatcher != m_state.roster.self()) {
-        const auto answer = co_await ask(dispatcher, query);
+        const auto answer = co_await queryDispatcher(dispatcher, query);
         auto decision = answer ? toDecision(*answer, why) : std::nullopt;
         if (decision) {
             m_decidedByDispatcher.add();
@@ -54,7 +54,7 @@
     return m_state.roster.self();
 }
 
-auto placement_dispatch::ask(std::uint64_t dispatcher, const placement_query &query)
+auto placement_dispatch::queryDispatcher(std::uint64_t dispatcher, const placement_query &query)
     -> asio::awaitable<std::optional<placement_answer>>
 {
     const auto number = ++m_nextNumber;
@@ -96,13 +96,13 @@
                             .allEnginesFull = false };
 }
 
-auto placement_dispatch::answer(std::uint64_t askingRouter, std::uint64_t number, const placement_query &query)
+auto placement_dispatch::answer(std::uint64_t queryingRouter, std::uint64_t number, const placement_query &query)
     -> std::optional<placement_answer>
 {
     const auto now = system_clock_source().now();
     auto why = last_reason();
-    for (const auto incarnation : query.failed) {
-        m_state.loads.noteSuspicion(incarnation, askingRouter, now);
+    for (const auto incarnation : query.failedServers) {
+        m_state.loads.noteSuspicion(incarnation, queryingRouter, now);
     }
     const auto decision = decideEngine(m_state, query, now, why);
     if (!decision) {
@@ -114,7 +114,7 @@
     }
     const auto &chosen = *decision->chosen;
     answer.server = server_loads::incarnationId(*chosen.server);
-    answer.sequence = m_state.placements.add(askingRouter, answer.server, chosen.prefillTokens, now);
+    answer.sequence = m_state.placements.add(queryingRouter, answer.server, chosen.prefillTokens, now);
     answer.prefillTokens = chosen.prefillTokens;
     answer.wait = chosen.wait;
     answer.firstEvent = chosen.firstEvent;
--- a/src/gateway/platform_feed.cpp
+++ b/src/gateway/platform_feed.cpp
@@ -135,7 +135,7 @@
         m_listeners.onStoreChange();
     }
     if (event.kind == watch_event_kind::bookmark && m_isNewestApplied) {
-        m_state.keys.noteValidation(event.askedAt);
+        m_state.keys.noteValidation(event.requestedAt);
     }
 }
 
--- a/src/gateway/prefix_cache_estimate.cpp
+++ b/src/gateway/prefix_cache_estimate.cpp
@@ -8,36 +8,36 @@
     evict();
 }
 
-auto prefix_cache_estimate::noteRead(const std::vector<prefix_block> &parts, std::uint32_t unsharedTokens) -> void
+auto prefix_cache_estimate::recordPrefill(const std::vector<prefix_block> &blocks, std::uint32_t unsharedTokens) -> void
 {
-    for (const auto &part : parts) {
-        touch(part);
+    for (const auto &block : blocks) {
+        touch(block);
     }
     m_lruOrder.push_front({ 0, unsharedTokens });
     m_cachedTokens += unsharedTokens;
     evict();
 }
 
-auto prefix_cache_estimate::touch(const prefix_block &part) -> void
+auto prefix_cache_estimate::touch(const prefix_block &block) -> void
 {
-    const auto known = m_byId.find(part.id);
+    const auto known = m_byId.find(block.id);
     if (known != m_byId.end()) {
         m_lruOrder.splice(m_lruOrder.begin(), m_lruOrder, known->second);
         return;
     }
-    m_lruOrder.push_front(part);
-    m_byId.emplace(part.id, m_lruOrder.begin());
-    m_cachedTokens += part.tokens;
+    m_lruOrder.push_front(block);
+    m_byId.emplace(block.id, m_lruOrder.begin());
+    m_cachedTokens += block.tokens;
 }
 
 auto prefix_cache_estimate::cachedTokens(const prompt_summary &prompt) const -> std::uint32_t
 {
     auto tokens = std::uint32_t(0);
-    for (const auto &part : prompt.parts) {
-        if (!m_byId.contains(part.id)) {
+    for (const auto &block : prompt.parts) {
+        if (!m_byId.contains(block.id)) {
             break;
         }
-        tokens += part.tokens;
+        tokens += block.tokens;
     }
     return tokens;
 }
--- a/src/gateway/prompt_placement.cpp
+++ b/src/gateway/prompt_placement.cpp
@@ -32,7 +32,7 @@
     -> std::optional<engine_choice>
 {
     const auto home = std::max_element(candidates.begin(), candidates.end(), [](const auto &left, const auto &right) {
-        return left.homeRank < right.homeRank;
+        return left.homeScore < right.homeScore;
     });
     auto best = std::optional<std::size_t>();
     auto bestCost = duration::max();
--- a/src/gateway/server_choice.cpp
+++ b/src/gateway/server_choice.cpp
@@ -68,16 +68,16 @@
     candidates.reserve(servers->size());
     for (const auto &server : *servers) {
         auto &load = state.loads.at(*server);
-        load.parts.setCapacity(prefixCacheTokens);
+        load.prefixCache.setCapacity(prefixCacheTokens);
         const auto incarnation = server_loads::incarnationId(*server);
         const auto others = state.fleet.loadOnEngine(incarnation);
         const auto pending = state.placements.loadOnEngine(incarnation);
-        candidates.push_back({ .homeRank = prompt_placement::homeScore(server->id, prefixId),
+        candidates.push_back({ .homeScore = prompt_placement::homeScore(server->id, prefixId),
                                .running = load.running + others.running + pending.running,
                                .slots = server->slots,
                                .pendingPrefillTokens = load.pendingPrefillTokens + others.pendingPrefillTokens
                                    + pending.pendingPrefillTokens,
-                               .cachedTokens = load.parts.cachedTokens(prompt),
+                               .cachedTokens = load.prefixCache.cachedTokens(prompt),
                                .avoided = load.isAvoided(now) });
     }
     const auto choice = state.placement.choose(candidates, prompt.promptTokens);
--- a/src/gateway/store_relay.cpp
+++ b/src/gateway/store_relay.cpp
@@ -44,7 +44,8 @@
 auto store_relay::sendQuery(time_point now) -> void
 {
     auto target = std::uint64_t(0);
-    auto routersToSkip = m_openQueries.empty() ? std::size_t(0) : m_openQueries.size() % watch_role::WATCHER_COUNT;
+    auto routersToSkip =
+        m_pendingQueries.empty() ? std::size_t(0) : m_pendingQueries.size() % watch_role::WATCHER_COUNT;
     for (const auto id : m_state.roster.watchOrder()) {
         if (id == m_state.roster.self() || !m_state.roster.isResponsive(id, now)) {
             continue;
@@ -58,9 +59,9 @@
         return;
     }
     const auto query = store_query{ .number = ++m_lastQueryNumber, .serversRevision = m_feed.serversRevision() };
-    m_openQueries.emplace(query.number, boot_clock::now());
-    if (m_openQueries.size() > MAX_OPEN_QUERIES) {
-        m_openQueries.erase(m_openQueries.begin());
+    m_pendingQueries.emplace(query.number, boot_clock::now());
+    if (m_pendingQueries.size() > MAX_PENDING_QUERIES) {
+        m_pendingQueries.erase(m_pendingQueries.begin());
     }
     m_state.roster.noteRequestSent(target, now);
     m_sentQueries.add();
@@ -77,14 +78,14 @@
 
 auto store_relay::onUpdate(const store_update &update) -> void
 {
-    const auto query = m_openQueries.find(update.number);
-    const auto queriedAt = query == m_openQueries.end() ? std::nullopt : std::optional(query->second);
+    const auto query = m_pendingQueries.find(update.number);
+    const auto queriedAt = query == m_pendingQueries.end() ? std::nullopt : std::optional(query->second);
     const auto isCurrent = m_feed.applyUpdate(update, queriedAt);
     if (!queriedAt) {
         return;
     }
     // The update also answers all earlier queries.
-    m_openQueries.erase(m_openQueries.begin(), std::next(query));
+    m_pendingQueries.erase(m_pendingQueries.begin(), std::next(query));
     const auto maxAge = m_state.settings.keyLifetime / VALIDATIONS_PER_LIFETIME;
     const auto isValidated = update.validationAge ? *update.validationAge <= maxAge : update.configurationRevision == 0;
     if (isCurrent && isValidated) {
--- a/src/store/store_watch.cpp
+++ b/src/store/store_watch.cpp
@@ -92,7 +92,7 @@
     auto request = http_request(http::verb::get, platform::watchTarget(kind, revision, m_options.watchPollWait), 11);
     request.set(http::field::host, address);
     request.keep_alive(true);
-    const auto askedAt = boot_clock::now();
+    const auto requestedAt = boot_clock::now();
     auto sent = sent_state::notSent;
     m_calls.add();
     const auto response = co_await connection->exchange(std::move(request), m_options.watchTimeout, sent, why);
@@ -122,8 +122,9 @@
         }
     }
     revision = std::max(revision, batch->revision);
-    const auto bookmark =
-        watch_event{ .kind = watch_event_kind::bookmark, .revision = revision, .object = {}, .askedAt = askedAt };
+    const auto bookmark = watch_event{
+        .kind = watch_event_kind::bookmark, .revision = revision, .object = {}, .requestedAt = requestedAt
+    };
     co_return callback(bookmark) ? watch_end::idle : watch_end::stopped;
 }
 
--- a/tests/unit/gateway/engine_parts_test.cpp
+++ b/tests/unit/gateway/engine_shards_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(engine_parts_test)
+BOOST_AUTO_TEST_SUITE(engine_shards_test)
 
 BOOST_AUTO_TEST_CASE(shard_count_is_a_power_of_two_and_one_for_few_engines)
 {
--- a/tests/unit/gateway/loop_lag_test.cpp
+++ b/tests/unit/gateway/event_loop_delay_test.cpp
@@ -5,7 +5,7 @@
 using namespace marjoramloom;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_SUITE(loop_lag_test)
+BOOST_AUTO_TEST_SUITE(event_loop_delay_test)
 
 BOOST_AUTO_TEST_CASE(a_single_pause_is_no_overload_but_two_delays_in_a_row_are)
 {
--- a/tests/unit/gateway/fleet_loads_test.cpp
+++ b/tests/unit/gateway/fleet_loads_test.cpp
@@ -9,10 +9,13 @@
 
 namespace {
 
-auto makeReport(std::uint64_t router, std::uint64_t sequence, std::uint32_t unread, std::uint32_t started)
+auto makeReport(std::uint64_t router, std::uint64_t sequence, std::uint32_t pendingTokens, std::uint32_t startedTokens)
     -> load_snapshot
 {
-    return { .router = router, .sequence = sequence, .engines = { { 1, 2, unread } }, .accounts = { { 7, started } } };
+    return { .router = router,
+             .sequence = sequence,
+             .engines = { { 1, 2, pendingTokens } },
+             .accounts = { { 7, startedTokens } } };
 }
 
 } // namespace
--- a/tests/unit/gateway/freshness_and_budget_test.cpp
+++ b/tests/unit/gateway/freshness_and_budget_test.cpp
@@ -28,17 +28,17 @@
 {
     auto budget = gateway_retry_budget({ .ratio = 0.2, .window = 10s, .reserve = 2 });
     auto now = time_point(100s);
-    BOOST_TEST(budget.take(now));
-    BOOST_TEST(budget.take(now));
-    BOOST_TEST(!budget.take(now));
+    BOOST_TEST(budget.tryConsume(now));
+    BOOST_TEST(budget.tryConsume(now));
+    BOOST_TEST(!budget.tryConsume(now));
     for (auto request = 0; request < 10; ++request) {
         budget.noteFirstAttempt(now);
     }
-    BOOST_TEST(budget.take(now));
-    BOOST_TEST(budget.take(now));
-    BOOST_TEST(!budget.take(now));
-    BOOST_TEST(!budget.take(now + 10s));
-    BOOST_TEST(budget.take(now + 10'001ms));
+    BOOST_TEST(budget.tryConsume(now));
+    BOOST_TEST(budget.tryConsume(now));
+    BOOST_TEST(!budget.tryConsume(now));
+    BOOST_TEST(!budget.tryConsume(now + 10s));
+    BOOST_TEST(budget.tryConsume(now + 10'001ms));
 }
 
 BOOST_AUTO_TEST_CASE(idle_connections_of_all_routers_take_at_most_half_of_a_servers_limit)
--- a/tests/unit/gateway/placement_dispatch_test.cpp
+++ b/tests/unit/gateway/placement_dispatch_test.cpp
@@ -32,11 +32,11 @@
     return server;
 }
 
-auto makeQuery(std::uint64_t part, std::uint32_t tokens) -> placement_query
+auto makeQuery(std::uint64_t prefixId, std::uint32_t tokens) -> placement_query
 {
     auto query = placement_query();
     query.service = "pool";
-    query.prompt.parts = { { part, tokens / 2 }, { part + 1'000, tokens / 2 } };
+    query.prompt.parts = { { prefixId, tokens / 2 }, { prefixId + 1'000, tokens / 2 } };
     query.prompt.promptTokens = tokens;
     query.objective = 500ms;
     return query;
@@ -135,14 +135,14 @@
 BOOST_AUTO_TEST_CASE(simultaneous_prompts_are_spread_over_the_engines)
 {
     // As many prompts as there are slots, placed before any router reports its load.
-    auto unread = std::map<std::uint64_t, std::uint32_t>();
+    auto prefillTokensByServer = std::map<std::uint64_t, std::uint32_t>();
     for (auto request = std::uint64_t(0); request < 24; ++request) {
         const auto answer = dispatch.answer(2 + request % 9, request, makeQuery(100 + request, 600));
         BOOST_REQUIRE(answer.has_value());
-        unread[answer->server] += answer->prefillTokens;
+        prefillTokensByServer[answer->server] += answer->prefillTokens;
     }
-    BOOST_TEST(unread.size() == 3U);
-    for (const auto &[server, tokens] : unread) {
+    BOOST_TEST(prefillTokensByServer.size() == 3U);
+    for (const auto &[server, tokens] : prefillTokensByServer) {
         BOOST_TEST(tokens == 8U * 600U);
     }
     // All slots are taken, so the next prompt is refused.
@@ -166,12 +166,12 @@
     auto query = makeQuery(1, 100);
     const auto &engines = state.servers.usable("pool");
     for (auto index = std::uint32_t(0); index < 2; ++index) {
-        query.part = { .index = index, .count = 2 };
+        query.shard = { .index = index, .count = 2 };
         const auto isEmpty = std::none_of(engines.begin(), engines.end(),
-                                          [&](const auto &engine) { return query.part.contains(engine->id); });
+                                          [&](const auto &engine) { return query.shard.contains(engine->id); });
         const auto answer = dispatch.answer(2, 1, query);
         BOOST_TEST(answer.has_value() == !isEmpty);
-        BOOST_TEST((!answer || query.part.contains(state.servers.findUsable(answer->server)->id)));
+        BOOST_TEST((!answer || query.shard.contains(state.servers.findUsable(answer->server)->id)));
     }
 }
 
@@ -179,7 +179,7 @@
 {
     auto query = makeQuery(1, 100);
     const auto home = dispatch.answer(2, 1, query)->server;
-    query.failed = { home };
+    query.failedServers = { home };
     const auto second = dispatch.answer(2, 2, query)->server;
     BOOST_TEST(second != 0U);
     BOOST_TEST(second != home);
@@ -199,7 +199,7 @@
     auto query = makeQuery(1, 100);
     const auto home = dispatch.answer(2, 1, query)->server;
     auto failing = query;
-    failing.failed = { home };
+    failing.failedServers = { home };
     for (auto attempt = 0; attempt < 5; ++attempt) {
         dispatch.answer(2, 2, failing); // This router may itself be cut off from the engine.
     }
@@ -221,21 +221,21 @@
         }
     }
     constexpr auto prompts = 400;
-    auto failedSends = 0;
+    auto failedAttempts = 0;
     for (auto prompt = std::uint64_t(0); prompt < prompts; ++prompt) {
         const auto router = 2 + prompt % 9;
         auto query = makeQuery(100 + prompt % 60, 600);
         auto answer = dispatch.answer(router, prompt, query);
         while (answer && crashed.contains(answer->server)) {
-            ++failedSends;
-            query.failed.insert(answer->server);
+            ++failedAttempts;
+            query.failedServers.insert(answer->server);
             answer = dispatch.answer(router, prompt, query);
         }
         BOOST_REQUIRE(answer.has_value());
         BOOST_TEST(answer->server != 0U);
         state.placements.acknowledge(router, answer->sequence);
     }
-    BOOST_TEST(failedSends < prompts / 20);
+    BOOST_TEST(failedAttempts < prompts / 20);
 }
 
 BOOST_AUTO_TEST_CASE(a_placement_counts_until_the_routers_report_includes_it_or_it_expires)
--- a/tests/unit/gateway/placement_test.cpp
+++ b/tests/unit/gateway/placement_test.cpp
@@ -34,9 +34,9 @@
 
 BOOST_AUTO_TEST_CASE(the_home_engine_wins_among_equals_in_any_order_of_the_candidates)
 {
-    const auto left = engine_candidate{ .homeRank = prompt_placement::homeScore("left", 7), .slots = 8 };
-    const auto right = engine_candidate{ .homeRank = prompt_placement::homeScore("right", 7), .slots = 8 };
-    const auto leftIsHome = left.homeRank > right.homeRank;
+    const auto left = engine_candidate{ .homeScore = prompt_placement::homeScore("left", 7), .slots = 8 };
+    const auto right = engine_candidate{ .homeScore = prompt_placement::homeScore("right", 7), .slots = 8 };
+    const auto leftIsHome = left.homeScore > right.homeScore;
     BOOST_TEST(chooseIndex({ left, right }, 2'000) == (leftIsHome ? 0U : 1U));
     BOOST_TEST(chooseIndex({ right, left }, 2'000) == (leftIsHome ? 1U : 0U));
 }
@@ -55,18 +55,18 @@
 {
     auto cache = prefix_cache_estimate();
     cache.setCapacity(10'000);
-    const auto outline = [](std::vector<prefix_block> parts) {
+    const auto makePrompt = [](std::vector<prefix_block> blocks) {
         auto prompt = prompt_summary();
-        prompt.parts = std::move(parts);
+        prompt.parts = std::move(blocks);
         return prompt;
     };
-    cache.noteRead({ { 1, 2'000 }, { 2, 3'000 } }, 1'000);
-    BOOST_TEST(cache.cachedTokens(outline({ { 1, 2'000 }, { 2, 3'000 }, { 9, 500 } })) == 5'000U);
+    cache.recordPrefill({ { 1, 2'000 }, { 2, 3'000 } }, 1'000);
+    BOOST_TEST(cache.cachedTokens(makePrompt({ { 1, 2'000 }, { 2, 3'000 }, { 9, 500 } })) == 5'000U);
     // A cached block after one that is not cached does not count.
-    BOOST_TEST(cache.cachedTokens(outline({ { 3, 2'000 }, { 2, 3'000 } })) == 0U);
-    cache.noteRead({ { 1, 2'000 }, { 4, 3'000 } }, 2'000);
-    BOOST_TEST(cache.cachedTokens(outline({ { 1, 2'000 }, { 2, 3'000 } })) == 2'000U);
-    BOOST_TEST(cache.cachedTokens(outline({ { 1, 2'000 }, { 4, 3'000 } })) == 5'000U);
+    BOOST_TEST(cache.cachedTokens(makePrompt({ { 3, 2'000 }, { 2, 3'000 } })) == 0U);
+    cache.recordPrefill({ { 1, 2'000 }, { 4, 3'000 } }, 2'000);
+    BOOST_TEST(cache.cachedTokens(makePrompt({ { 1, 2'000 }, { 2, 3'000 } })) == 2'000U);
+    BOOST_TEST(cache.cachedTokens(makePrompt({ { 1, 2'000 }, { 4, 3'000 } })) == 5'000U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/gateway/platform_feed_test.cpp
+++ b/tests/unit/gateway/platform_feed_test.cpp
@@ -85,10 +85,10 @@
     auto update = updateOf({}, 1);
     update.validationAge = 100ms;
     update.configurationRevision = 5;
-    const auto askedAt = boot_clock::now() - 200ms;
+    const auto queriedAt = boot_clock::now() - 200ms;
     // The update names a configuration that this router does not have: it validates no keys, and the configuration is
     // read from the store.
-    BOOST_TEST(!feed.applyUpdate(update, askedAt));
+    BOOST_TEST(!feed.applyUpdate(update, queriedAt));
     BOOST_TEST(!state.keys.isFresh(boot_clock::now()));
     update.configurationRevision = 0;
     BOOST_TEST(feed.applyUpdate(update, std::nullopt));
--- a/tests/unit/gateway/router_roster_test.cpp
+++ b/tests/unit/gateway/router_roster_test.cpp
@@ -94,9 +94,9 @@
     const auto now = time_point(100s);
     auto watching = std::map<std::string, int>();
     for (auto index = std::size_t(0); index < rosters.size(); ++index) {
-        auto duty = watch_role(now);
-        duty.noteRoutersKnown(now);
-        watching[routers[index].dataCentre] += duty.shouldWatch(rosters[index], now) ? 1 : 0;
+        auto watchRole = watch_role(now);
+        watchRole.noteRoutersKnown(now);
+        watching[routers[index].dataCentre] += watchRole.shouldWatch(rosters[index], now) ? 1 : 0;
     }
     BOOST_TEST(watching["north"] == 2);
     BOOST_TEST(watching["south"] == 2);
@@ -110,31 +110,31 @@
     }
     for (auto &roster : makeRosters(routers)) {
         const auto start = time_point(100s);
-        auto duty = watch_role(start);
-        duty.noteRoutersKnown(start);
-        if (duty.shouldWatch(roster, start)) {
+        auto watchRole = watch_role(start);
+        watchRole.noteRoutersKnown(start);
+        if (watchRole.shouldWatch(roster, start)) {
             continue; // Designated by the order of the routers.
         }
         auto now = start;
         for (; now < start + 3s; now += 400ms) {
-            duty.noteUpToDate(now);
-            BOOST_TEST(!duty.shouldWatch(roster, now + 100ms));
+            watchRole.noteUpToDate(now);
+            BOOST_TEST(!watchRole.shouldWatch(roster, now + 100ms));
         }
-        BOOST_TEST(duty.shouldWatch(roster, now + 2s));
-        duty.noteUpToDate(now + 3s);
+        BOOST_TEST(watchRole.shouldWatch(roster, now + 2s));
+        watchRole.noteUpToDate(now + 3s);
         // It goes on for a minimum time, so that it does not start and stop with each message.
-        BOOST_TEST(duty.shouldWatch(roster, now + 3s));
-        duty.noteUpToDate(now + 7s);
-        BOOST_TEST(!duty.shouldWatch(roster, now + 7s));
+        BOOST_TEST(watchRole.shouldWatch(roster, now + 3s));
+        watchRole.noteUpToDate(now + 7s);
+        BOOST_TEST(!watchRole.shouldWatch(roster, now + 7s));
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_router_that_learns_of_no_others_watches_the_store)
 {
     auto roster = router_roster(makeIdentity(1));
-    auto duty = watch_role(time_point(100s));
-    BOOST_TEST(!duty.shouldWatch(roster, time_point(100s)));
-    BOOST_TEST(duty.shouldWatch(roster, time_point(102s)));
+    auto watchRole = watch_role(time_point(100s));
+    BOOST_TEST(!watchRole.shouldWatch(roster, time_point(100s)));
+    BOOST_TEST(watchRole.shouldWatch(roster, time_point(102s)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/gateway/server_log_test.cpp
+++ b/tests/unit/gateway/server_change_log_test.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(server_log_test)
+BOOST_AUTO_TEST_SUITE(server_change_log_test)
 
 BOOST_AUTO_TEST_CASE(changes_after_a_revision_are_returned_in_order)
 {
